--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -245,7 +245,7 @@
         if taken {
             report_unknown_regions(&self.settings.topology, &configuration);
             self.forget_restricted_pools();
-            self.counters.configured(self, &configuration);
+            self.counters.apply_configuration(self, &configuration);
             self.remember_configuration(configuration);
             self.divide_connections();
             self.events
--- a/crates/engine/src/home/placement.rs
+++ b/crates/engine/src/home/placement.rs
@@ -4,7 +4,7 @@
 use crate::link::{Link, Links};
 use crate::names::{GroupName, MemberId, NodeName, RegionName, TenantName, ZoneName};
 use crate::ports::PeerNetwork;
-use crate::rate::SHARDS;
+use crate::rate::SHARD_COUNT;
 use crate::rate::counter::Shard;
 use crate::residency::{Allowed, Residency};
 use crate::topology::Topology;
@@ -211,7 +211,7 @@
     };
     let inside = fleet.iter().filter(|peer| peer.zone == *zone);
     let inside: Vec<&Peer> = first_of(inside, b"counter", fleet.len()).collect();
-    let mut near = dealt(inside, shard / count, SHARDS.div_ceil(count));
+    let mut near = dealt(inside, shard / count, SHARD_COUNT.div_ceil(count));
     let task = format!("counter/{shard}");
     let outside = fleet.iter().filter(|peer| peer.zone != *zone);
     let far = first_of(outside, task.as_bytes(), COUNTER_CANDIDATES);
@@ -569,12 +569,13 @@
     /// The shards of the rate limits, in the order in which a process of `zone` asks them for
     /// `tenant`: those of its zone first. Where a zone has several, tenants begin with different
     /// ones.
-    pub fn shards_by_distance(&self, zone: &ZoneName, tenant: &TenantName) -> [Shard; SHARDS] {
+    pub fn shards_by_distance(&self, zone: &ZoneName, tenant: &TenantName) -> [Shard; SHARD_COUNT] {
         let zones = self.lock().zones();
         let count = zones.len().max(1);
         let own = zones.iter().position(|known| known == zone).unwrap_or(0);
-        let round = (xxh3_64(tenant.as_bytes()) % SHARDS as u64) as usize;
-        let mut order: [Shard; SHARDS] = std::array::from_fn(|place| (place + round) % SHARDS);
+        let round = (xxh3_64(tenant.as_bytes()) % SHARD_COUNT as u64) as usize;
+        let mut order: [Shard; SHARD_COUNT] =
+            std::array::from_fn(|place| (place + round) % SHARD_COUNT);
         order.sort_by_key(|shard| (shard % count + count - own) % count);
         order
     }
--- a/crates/engine/src/link/client.rs
+++ b/crates/engine/src/link/client.rs
@@ -6,7 +6,7 @@
 };
 use crate::names::{GroupName, TenantName};
 use crate::ports::{GroupBelief, PeerLink};
-use crate::rate::counter::{Draw, Shard};
+use crate::rate::counter::{PermitReply, Shard};
 use crate::version::StoreVersion;
 use bytes::Bytes;
 use std::collections::HashMap;
@@ -43,7 +43,7 @@
     Run(oneshot::Sender<HomeOutcome>),
     Ask(oneshot::Sender<Vec<GroupBelief>>),
     Follow(oneshot::Sender<News>),
-    Draw(oneshot::Sender<Draw>),
+    Draw(oneshot::Sender<PermitReply>),
     NewestTerm(oneshot::Sender<Option<StoreVersion>>),
 }
 
@@ -282,7 +282,12 @@
 
     /// Asks for a permit for one operation of `tenant`, or, unless it `takes` one, whether
     /// `shard` is counted there; `None` where the link ends first.
-    pub async fn draw(&self, shard: Shard, tenant: &TenantName, takes: bool) -> Option<Draw> {
+    pub async fn draw(
+        &self,
+        shard: Shard,
+        tenant: &TenantName,
+        takes: bool,
+    ) -> Option<PermitReply> {
         let (tx, rx) = oneshot::channel();
         let exchange = self.register(Waiter::Draw(tx));
         let question = ToHome::Draw {
--- a/crates/engine/src/link/frame.rs
+++ b/crates/engine/src/link/frame.rs
@@ -4,7 +4,7 @@
 use crate::names::{DatabaseName, GroupName, MemberId, RequestId, TenantName};
 use crate::ports::{Answer, DeclaredState, DeclaredVersions, GroupBelief, Record};
 use crate::position::LogPosition;
-use crate::rate::counter::{Draw, Shard};
+use crate::rate::counter::{PermitReply, Shard};
 use crate::statement::{Access, PreparedStatement};
 use crate::version::StoreVersion;
 use bytes::Bytes;
@@ -234,7 +234,7 @@
         /// The question.
         exchange: ExchangeId,
         /// What came of it.
-        drawn: Draw,
+        drawn: PermitReply,
     },
     /// What the holder of the lease for promotions vouches for.
     NewestTerm {
--- a/crates/engine/src/rate/bucket.rs
+++ b/crates/engine/src/rate/bucket.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 /// Longest time told to callers until the next token.
-const WAIT_MAX: Duration = Duration::from_secs(2);
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(2);
 
 /// Tokens that are filled in at a rate, up to a capacity, and taken one at a time: in a span
 /// of `t` seconds, no more are taken than the capacity and what is filled in within `t`.
@@ -13,9 +13,9 @@
 pub struct TokenBucket {
     share: BucketShare,
     tokens: f64,
-    settled: Instant,
+    refilled_at: Instant,
     /// A lower share, and from when on it holds.
-    lowered: Option<(BucketShare, Instant)>,
+    pending_decrease: Option<(BucketShare, Instant)>,
 }
 
 impl TokenBucket {
@@ -23,24 +23,26 @@
     pub fn new(share: BucketShare, began: Instant) -> Self {
         Self {
             share,
-            tokens: share.first.min(share.capacity),
-            settled: began,
-            lowered: None,
+            tokens: share.initial.min(share.capacity),
+            refilled_at: began,
+            pending_decrease: None,
         }
     }
 
     /// Changes how it is filled, and what it holds. More is given at once; what is taken away
     /// only at `lower_at`, or earlier where something lower was to hold by then.
     pub fn set_share(&mut self, share: BucketShare, now: Instant, lower_at: Instant) {
-        self.settle(now);
+        self.refill(now);
         let known = self.share;
         if share.per_second >= known.per_second && share.capacity >= known.capacity {
-            self.lowered = None;
+            self.pending_decrease = None;
             self.share = share;
             return;
         }
-        let at = self.lowered.map_or(lower_at, |(_, at)| at.min(lower_at));
-        self.lowered = Some((share, at));
+        let at = self
+            .pending_decrease
+            .map_or(lower_at, |(_, at)| at.min(lower_at));
+        self.pending_decrease = Some((share, at));
     }
 
     /// Takes one token.
@@ -49,7 +51,7 @@
     ///
     /// How long it takes until there is one.
     pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
-        self.settle(now);
+        self.refill(now);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
@@ -57,26 +59,26 @@
         let missing = 1.0 - self.tokens;
         let seconds = missing / self.share.per_second;
         let reachable = seconds.is_finite() && self.share.capacity >= 1.0;
-        let wait = match reachable && seconds < WAIT_MAX.as_secs_f64() {
-            true => Duration::from_secs_f64(seconds) + self.settled.duration_since(now),
-            false => WAIT_MAX,
+        let wait = match reachable && seconds < RETRY_AFTER_MAX.as_secs_f64() {
+            true => Duration::from_secs_f64(seconds) + self.refilled_at.duration_since(now),
+            false => RETRY_AFTER_MAX,
         };
-        Err(wait.min(WAIT_MAX))
+        Err(wait.min(RETRY_AFTER_MAX))
     }
 
-    fn settle(&mut self, now: Instant) {
-        if let Some((share, at)) = self.lowered.filter(|(_, at)| now >= *at) {
+    fn refill(&mut self, now: Instant) {
+        if let Some((share, at)) = self.pending_decrease.filter(|(_, at)| now >= *at) {
             self.fill_until(at);
             self.share = share;
             self.tokens = self.tokens.min(share.capacity);
-            self.lowered = None;
+            self.pending_decrease = None;
         }
         self.fill_until(now);
     }
 
     fn fill_until(&mut self, at: Instant) {
-        let elapsed = at.saturating_duration_since(self.settled).as_secs_f64();
+        let elapsed = at.saturating_duration_since(self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + elapsed * self.share.per_second).min(self.share.capacity);
-        self.settled = self.settled.max(at);
+        self.refilled_at = self.refilled_at.max(at);
     }
 }
--- a/crates/engine/src/rate/counter.rs
+++ b/crates/engine/src/rate/counter.rs
@@ -1,6 +1,6 @@
 //! The side that grants: one process for each shard counts what the fleet runs.
 
-use super::{RateBounds, SHARDS, TokenBucket};
+use super::{RateBounds, SHARD_COUNT, TokenBucket};
 use crate::configuration::Configuration;
 use crate::engine::Engine;
 use crate::names::TenantName;
@@ -11,19 +11,19 @@
 use stilequay_coordination::lease::{Lease, LeaseRecord};
 use tokio::time::Instant;
 
-/// One of the parts into which each limit is divided, below [`SHARDS`].
+/// One of the parts into which each limit is divided, below [`SHARD_COUNT`].
 pub type Shard = usize;
 
 /// How long a process goes on pursuing a shard after it was asked for permits of it.
-const WANTED_FOR: Duration = Duration::from_secs(6);
+const REQUEST_LIFETIME: Duration = Duration::from_secs(6);
 
 /// Share of the time in which changes of the configuration must be acted on, after which a
 /// lowered limit holds. What was granted before is used by then, and queues are short.
-const NOTICE_SHARE: f64 = 0.8;
+const LOWERED_LIMIT_DELAY_SHARE: f64 = 0.8;
 
 /// What came of asking for a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Draw {
+pub enum PermitReply {
     /// The operation may be sent.
     Granted,
     /// The tenant has none left; the time until the next one.
@@ -36,28 +36,28 @@
 
 /// A shard that this process counts.
 #[derive(Debug)]
-struct Counted {
+struct HeldShard {
     lease: Lease,
     /// From when on buckets are filled: until then another may still be filling its own.
     fills_from: Instant,
     /// Whether buckets begin with tokens.
-    has_first: bool,
+    has_initial: bool,
     buckets: HashMap<TenantName, TokenBucket>,
 }
 
 #[derive(Debug, Default)]
 struct ShardState {
-    counted: Option<Counted>,
-    wanted_until: Option<Instant>,
+    held: Option<HeldShard>,
+    requested_until: Option<Instant>,
     /// The lease of another as its counter has told it last.
-    told: Option<LeaseRecord>,
+    announced: Option<LeaseRecord>,
 }
 
 /// The shards as far as this process counts them.
 #[derive(Debug)]
 pub struct Counters {
     origin: Instant,
-    shards: [Mutex<ShardState>; SHARDS],
+    shards: [Mutex<ShardState>; SHARD_COUNT],
 }
 
 impl Default for Counters {
@@ -76,82 +76,86 @@
     }
 
     /// Takes one permit of `tenant` from `shard`.
-    pub fn draw(&self, engine: &Engine, shard: Shard, tenant: &TenantName) -> Draw {
+    pub fn acquire(&self, engine: &Engine, shard: Shard, tenant: &TenantName) -> PermitReply {
         let Some(bounds) = rate_bounds(engine) else {
-            return Draw::NotCounted;
+            return PermitReply::NotCounted;
         };
         let configuration = engine.configuration();
         let known = configuration.as_ref().and_then(|c| c.tenants.get(tenant));
         let Some(limit) = known.and_then(|tenant| tenant.rate) else {
-            return Draw::NotCounted;
+            return PermitReply::NotCounted;
         };
         let Some(mut state) = self.lock(shard) else {
-            return Draw::NotCounted;
+            return PermitReply::NotCounted;
         };
         let now = Instant::now();
         let elapsed = self.elapsed();
-        let held = state.counted.as_mut();
-        let Some(counted) = held.filter(|counted| counted.lease.check(elapsed).is_ok()) else {
-            return Draw::NotCounted;
+        let held = state.held.as_mut();
+        let Some(held) = held.filter(|held| held.lease.check(elapsed).is_ok()) else {
+            return PermitReply::NotCounted;
         };
-        let (fills_from, has_first) = (counted.fills_from, counted.has_first);
-        let bucket = counted.buckets.entry(tenant.clone()).or_insert_with(|| {
+        let (fills_from, has_initial) = (held.fills_from, held.has_initial);
+        let bucket = held.buckets.entry(tenant.clone()).or_insert_with(|| {
             let mut share = bounds.share(limit);
-            if !has_first {
-                share.first = 0.0;
+            if !has_initial {
+                share.initial = 0.0;
             }
             TokenBucket::new(share, fills_from)
         });
         match bucket.take(now) {
-            Ok(()) => Draw::Granted,
-            Err(wait) => Draw::Exhausted(wait),
+            Ok(()) => PermitReply::Granted,
+            Err(wait) => PermitReply::Exhausted(wait),
         }
     }
 
     /// Whether `shard` is counted here, told as an answer to a process that needs no permit.
-    pub fn look(&self, shard: Shard) -> Draw {
-        match self.counted().any(|counted| counted == shard) {
-            true => Draw::Counted,
-            false => Draw::NotCounted,
+    pub fn status(&self, shard: Shard) -> PermitReply {
+        match self.counted_shards().any(|counted| counted == shard) {
+            true => PermitReply::Counted,
+            false => PermitReply::NotCounted,
         }
     }
 
     /// Notes that a process lacks a counter of `shard`: this one is to become it.
-    pub fn want(&self, shard: Shard) {
+    pub fn request_counter(&self, shard: Shard) {
         if let Some(mut state) = self.lock(shard) {
-            state.wanted_until = Some(Instant::now() + WANTED_FOR);
+            state.requested_until = Some(Instant::now() + REQUEST_LIFETIME);
         }
     }
 
     /// Notes a lease that its counter has told of, which has just been written.
-    pub fn note_told(&self, shard: Shard, record: LeaseRecord) {
+    pub fn note_announced(&self, shard: Shard, record: LeaseRecord) {
         if let Some(mut state) = self.lock(shard) {
-            state.told = Some(record);
+            state.announced = Some(record);
         }
     }
 
     /// The lease that was told of last, once.
-    pub(super) fn take_told(&self, shard: Shard) -> Option<LeaseRecord> {
-        self.lock(shard)?.told.take()
+    pub(super) fn take_announced(&self, shard: Shard) -> Option<LeaseRecord> {
+        self.lock(shard)?.announced.take()
     }
 
     /// Takes the limits of a configuration that has just been learned of. Tenants keep what is
     /// taken away from them for most of the time that changes of the configuration may take:
     /// they can't know of it sooner, and are owed it until then.
-    pub(crate) fn configured(&self, engine: &Engine, configuration: &Configuration) {
+    pub(crate) fn apply_configuration(&self, engine: &Engine, configuration: &Configuration) {
         let Some(bounds) = rate_bounds(engine) else {
             return;
         };
         let now = Instant::now();
-        let lower_at = now + engine.settings().configuration_bound.mul_f64(NOTICE_SHARE);
-        for shard in 0..SHARDS {
+        let lower_at = now
+            + engine
+                .settings()
+                .configuration_bound
+                .mul_f64(LOWERED_LIMIT_DELAY_SHARE);
+        for shard in 0..SHARD_COUNT {
             let Some(mut state) = self.lock(shard) else {
                 continue;
             };
-            let Some(counted) = &mut state.counted else {
+            let Some(held) = &mut state.held else {
                 continue;
             };
-            counted.buckets.retain(|name, bucket| {
+            held.buckets.retain(|name, bucket| {
                 let tenant = configuration.tenants.get(name);
                 let Some(limit) = tenant.and_then(|tenant| tenant.rate) else {
                     return false;
@@ -163,37 +167,43 @@
     }
 
     /// The shards that are counted here now.
-    pub fn counted(&self) -> impl Iterator<Item = Shard> {
+    pub fn counted_shards(&self) -> impl Iterator<Item = Shard> {
         let now = self.elapsed();
         let holds = move |shard: &Shard| {
             let lease = self.lease(*shard);
             lease.is_some_and(|lease| lease.check(now).is_ok())
         };
-        (0..SHARDS).filter(holds)
+        (0..SHARD_COUNT).filter(holds)
     }
 
     /// The lease of `shard`, held still or not.
     pub(super) fn lease(&self, shard: Shard) -> Option<Lease> {
         let state = self.lock(shard)?;
-        state.counted.as_ref().map(|counted| counted.lease.clone())
+        state.held.as_ref().map(|held| held.lease.clone())
     }
 
     /// Whether processes have asked for permits of `shard` lately that it could not give.
-    pub(super) fn is_wanted(&self, shard: Shard, now: Instant) -> bool {
+    pub(super) fn is_requested(&self, shard: Shard, now: Instant) -> bool {
         let state = self.lock(shard);
-        let until = state.and_then(|state| state.wanted_until);
+        let until = state.and_then(|state| state.requested_until);
         until.is_some_and(|until| now < until)
     }
 
     /// Takes a lease that was acquired: what was counted before it is not known. The buckets
-    /// begin with tokens only if `has_first`, and are filled from `fills_from` on, a moment on
+    /// begin with tokens only if `has_initial`, and are filled from `fills_from` on, a moment on
     /// the clock of the leases.
-    pub(super) fn begin(&self, shard: Shard, lease: Lease, has_first: bool, fills_from: Duration) {
+    pub(super) fn start(
+        &self,
+        shard: Shard,
+        lease: Lease,
+        has_initial: bool,
+        fills_from: Duration,
+    ) {
         if let Some(mut state) = self.lock(shard) {
-            state.counted = Some(Counted {
+            state.held = Some(HeldShard {
                 lease,
                 fills_from: self.origin + fills_from,
-                has_first,
+                has_initial,
                 buckets: HashMap::new(),
             });
         }
@@ -202,16 +212,16 @@
     /// Takes a lease that was renewed: nobody has counted meanwhile, even if it had lapsed.
     pub(super) fn renew(&self, shard: Shard, lease: Lease) {
         if let Some(mut state) = self.lock(shard)
-            && let Some(counted) = &mut state.counted
+            && let Some(held) = &mut state.held
         {
-            counted.lease = lease;
+            held.lease = lease;
         }
     }
 
     /// Counts no more.
-    pub(super) fn end(&self, shard: Shard) {
+    pub(super) fn stop(&self, shard: Shard) {
         if let Some(mut state) = self.lock(shard) {
-            state.counted = None;
+            state.held = None;
         }
     }
 
--- a/crates/engine/src/rate/mod.rs
+++ b/crates/engine/src/rate/mod.rs
@@ -3,7 +3,7 @@
 //! The fleet's processes together may run no more of a tenant's operations in any window than
 //! a bound allows ([`RateBounds`]), however they are cut off from one another. So each
 //! operation needs a permit before it is sent to a member, and permits come from few places:
-//! each tenant's limit is divided among [`SHARDS`] processes, the counters. Each holds a
+//! each tenant's limit is divided among [`SHARD_COUNT`] processes, the counters. Each holds a
 //! lease in the store for its shard, and a token bucket for each tenant ([`counter`]). A
 //! process that is to run an operation asks the counters of its zone, then the others, and
 //! passes by those that are late ([`permit`]). In a fleet of 80 processes of which 28 were cut
@@ -46,17 +46,17 @@
 //! for a lease and a window; and where the second gives the lease back sooner, buckets are filled
 //! once the first has surely stopped.
 
-mod asking;
 mod bucket;
 pub mod counter;
 pub mod permit;
-mod pursuit;
-mod reach;
+mod permit_request;
+mod shard_health;
+mod shard_lease;
 
 pub use bucket::TokenBucket;
 pub use counter::Counters;
 pub use permit::Permit;
-pub use pursuit::run;
+pub use shard_lease::run;
 
 use crate::tenant::RateLimit;
 use std::time::Duration;
@@ -64,15 +64,15 @@
 /// Counters among which each limit is divided. With six each zone of three has two, and the
 /// loss of a zone leaves more than the five eighths of a limit that tenants commonly use; a
 /// tenant without a burst still has a whole token in each bucket.
-pub const SHARDS: usize = 6;
+pub const SHARD_COUNT: usize = 6;
 /// Share of the slack by which buckets are larger than the burst: what is left in each of them
 /// is less than a whole token, and lost to the tenant while it asks for all that it may.
-const SPARE_SHARE: f64 = 0.5;
+const CAPACITY_SLACK_SHARE: f64 = 0.5;
 /// Share of the excess for which permits may be used after they were granted.
-const LAPSE_SHARE: f64 = 0.4;
+const PERMIT_LIFETIME_SHARE: f64 = 0.4;
 /// Share of all that is allowed beyond the limit with which a counter that takes over begins:
 /// after a restart of all processes callers come back together.
-const FIRST_SHARE: f64 = 0.5;
+const INITIAL_SHARE: f64 = 0.5;
 
 /// How exactly rate limits are kept.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -87,8 +87,8 @@
 
 impl RateBounds {
     /// How long a permit may be used after it was asked for.
-    pub fn permit_life(&self) -> Duration {
-        self.window.mul_f64(self.excess * LAPSE_SHARE)
+    pub fn permit_lifetime(&self) -> Duration {
+        self.window.mul_f64(self.excess * PERMIT_LIFETIME_SHARE)
     }
 
     /// Most operations under `limit` in one window.
@@ -99,28 +99,28 @@
     /// use stilequay_engine::tenant::RateLimit;
     /// let bounds = RateBounds { window: Duration::from_secs(5), excess: 0.1, slack: 20.0 };
     /// let limit = RateLimit { per_second: 100.0, burst: 50.0 };
-    /// assert_eq!(bounds.most(limit), 550.0 * 1.1 + 20.0);
+    /// assert_eq!(bounds.max_operations(limit), 550.0 * 1.1 + 20.0);
     /// ```
-    pub fn most(&self, limit: RateLimit) -> f64 {
-        self.limit_of_window(limit) + self.beyond(limit)
+    pub fn max_operations(&self, limit: RateLimit) -> f64 {
+        self.window_limit(limit) + self.allowance(limit)
     }
 
-    fn limit_of_window(&self, limit: RateLimit) -> f64 {
+    fn window_limit(&self, limit: RateLimit) -> f64 {
         limit.per_second * self.window.as_secs_f64() + limit.burst
     }
 
     /// Operations of a window beyond what the limit itself allows.
-    fn beyond(&self, limit: RateLimit) -> f64 {
-        self.excess * self.limit_of_window(limit) + self.slack
+    fn allowance(&self, limit: RateLimit) -> f64 {
+        self.excess * self.window_limit(limit) + self.slack
     }
 
     /// What one shard's bucket is filled by, holds, and begins with.
     pub fn share(&self, limit: RateLimit) -> BucketShare {
-        let shards = SHARDS as f64;
+        let shards = SHARD_COUNT as f64;
         BucketShare {
             per_second: limit.per_second / shards,
-            capacity: (limit.burst + self.slack * SPARE_SHARE) / shards,
-            first: self.beyond(limit) * FIRST_SHARE / shards,
+            capacity: (limit.burst + self.slack * CAPACITY_SLACK_SHARE) / shards,
+            initial: self.allowance(limit) * INITIAL_SHARE / shards,
         }
     }
 }
@@ -133,5 +133,5 @@
     /// Held at the most.
     pub capacity: f64,
     /// Held when a counter takes over.
-    pub first: f64,
+    pub initial: f64,
 }
--- a/crates/engine/src/rate/reach.rs
+++ b/crates/engine/src/rate/shard_health.rs
@@ -1,6 +1,6 @@
 //! How the counters of the shards answer this process.
 
-use super::SHARDS;
+use super::SHARD_COUNT;
 use super::counter::Shard;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 /// How one shard's counter answers.
 #[derive(Debug, Clone, Copy, Default)]
-enum Reach {
+enum CounterHealth {
     /// As it should.
     #[default]
     Answers,
@@ -27,34 +27,34 @@
 
 /// What an operation does about a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Look {
+pub(super) enum Action {
     /// It asks, and waits for the answer.
-    Ask,
+    Wait,
     /// It asks for the sake of those that follow, and waits for another shard's answer.
     Probe,
     /// It asks only where no other shard grants: somebody asks already.
-    Late,
+    Skip,
     /// It does not ask.
-    Lost,
+    Ignore,
 }
 
 /// How all shards answer.
 #[derive(Debug, Default)]
-pub(super) struct ShardReach {
-    shards: Mutex<[Reach; SHARDS]>,
+pub(super) struct ShardHealth {
+    shards: Mutex<[CounterHealth; SHARD_COUNT]>,
 }
 
-impl ShardReach {
+impl ShardHealth {
     /// What to do about `shard` now. Only one operation is told to probe it.
-    pub(super) fn look(&self, shard: Shard, now: Instant) -> Look {
+    pub(super) fn next_action(&self, shard: Shard, now: Instant) -> Action {
         let mut shards = self.lock();
         match shards[shard] {
-            Reach::Answers => Look::Ask,
-            Reach::Late { .. } => Look::Late,
-            Reach::Lost { until, .. } if now < until => Look::Lost,
-            Reach::Lost { pause, .. } => {
-                shards[shard] = Reach::Late { pause: Some(pause) };
-                Look::Probe
+            CounterHealth::Answers => Action::Wait,
+            CounterHealth::Late { .. } => Action::Skip,
+            CounterHealth::Lost { until, .. } if now < until => Action::Ignore,
+            CounterHealth::Lost { pause, .. } => {
+                shards[shard] = CounterHealth::Late { pause: Some(pause) };
+                Action::Probe
             }
         }
     }
@@ -62,29 +62,29 @@
     /// Notes that an answer takes longer than it should.
     pub(super) fn note_late(&self, shard: Shard) {
         let mut shards = self.lock();
-        if let Reach::Answers = shards[shard] {
-            shards[shard] = Reach::Late { pause: None };
+        if let CounterHealth::Answers = shards[shard] {
+            shards[shard] = CounterHealth::Late { pause: None };
         }
     }
 
     /// Notes that the counter has answered.
     pub(super) fn note_answer(&self, shard: Shard) {
-        self.lock()[shard] = Reach::Answers;
+        self.lock()[shard] = CounterHealth::Answers;
     }
 
     /// Notes that nobody was found that counts `shard`. The pause doubles while it stays lost.
     pub(super) fn note_lost(&self, shard: Shard, now: Instant) {
         let mut shards = self.lock();
         let pause = match shards[shard] {
-            Reach::Late { pause: Some(last) } => (last * 2).min(LOST_PAUSE_MAX),
-            Reach::Lost { pause, .. } => pause,
-            Reach::Answers | Reach::Late { pause: None } => LOST_PAUSE,
+            CounterHealth::Late { pause: Some(last) } => (last * 2).min(LOST_PAUSE_MAX),
+            CounterHealth::Lost { pause, .. } => pause,
+            CounterHealth::Answers | CounterHealth::Late { pause: None } => LOST_PAUSE,
         };
         let until = now + pause;
-        shards[shard] = Reach::Lost { until, pause };
+        shards[shard] = CounterHealth::Lost { until, pause };
     }
 
-    fn lock(&self) -> MutexGuard<'_, [Reach; SHARDS]> {
+    fn lock(&self) -> MutexGuard<'_, [CounterHealth; SHARD_COUNT]> {
         self.shards.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -14,7 +14,7 @@
 use crate::names::{GroupName, MemberId, RequestId};
 use crate::peers::beliefs;
 use crate::ports::{GroupBelief, PeerLink};
-use crate::rate::counter::Draw;
+use crate::rate::counter::PermitReply;
 use crate::statement::TransactionState;
 use bytes::Bytes;
 use std::collections::HashMap;
@@ -122,17 +122,17 @@
             }) => {
                 let counters = task.engine.counters();
                 let drawn = match takes {
-                    true => counters.draw(&task.engine, shard, &tenant),
-                    false => counters.look(shard),
+                    true => counters.acquire(&task.engine, shard, &tenant),
+                    false => counters.status(shard),
                 };
-                if drawn == Draw::NotCounted {
-                    counters.want(shard);
+                if drawn == PermitReply::NotCounted {
+                    counters.request_counter(shard);
                 }
                 task.tell(&FromHome::Drawn { exchange, drawn }).await;
             }
-            Some(ToHome::Want(shard)) => task.engine.counters().want(shard),
+            Some(ToHome::Want(shard)) => task.engine.counters().request_counter(shard),
             Some(ToHome::CounterLease { shard, record }) => {
-                task.engine.counters().note_told(shard, *record);
+                task.engine.counters().note_announced(shard, *record);
             }
             Some(ToHome::PromotionLease(record)) => {
                 task.engine
--- a/crates/engine/src/session/mod.rs
+++ b/crates/engine/src/session/mod.rs
@@ -309,11 +309,11 @@
         known: Option<Permit>,
         limits: StatementLimits,
     ) -> Result<Permit, Failure> {
-        if let Some(permit) = known.filter(|permit| permit.is_good(Instant::now())) {
+        if let Some(permit) = known.filter(|permit| permit.is_valid(Instant::now())) {
             return Ok(permit);
         }
         match &self.tenant {
-            Some(tenant) => rate::permit::draw(&self.engine, tenant, limits.offer).await,
+            Some(tenant) => rate::permit::acquire(&self.engine, tenant, limits.offer).await,
             None => Ok(Permit::UNLIMITED),
         }
     }
--- a/crates/engine/src/telemetry.rs
+++ b/crates/engine/src/telemetry.rs
@@ -212,7 +212,7 @@
     let directory = engine.directory();
     metrics::gauge!("stilequay_directory_version").set(directory.version as f64);
     metrics::gauge!("stilequay_processes").set(engine.processes() as f64);
-    let shards = engine.counters().counted().count();
+    let shards = engine.counters().counted_shards().count();
     metrics::gauge!("stilequay_rate_shards_counted").set(shards as f64);
     if let Some(at) = engine.following().configuration_complete_as_of() {
         let age = Instant::now().saturating_duration_since(at).as_secs_f64();
--- a/crates/engine/tests/rate.rs
+++ b/crates/engine/tests/rate.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use stilequay_engine::configuration::Configuration;
 use stilequay_engine::engine::Engine;
-use stilequay_engine::rate::{BucketShare, RateBounds, SHARDS, TokenBucket};
+use stilequay_engine::rate::{BucketShare, RateBounds, SHARD_COUNT, TokenBucket};
 use stilequay_engine::residency::Residency;
 use stilequay_engine::tenant::{Credential, RateLimit, Tenant, TenantPolicy};
 use stilequay_engine::verdict::{FailureReason, Verdict};
@@ -51,7 +51,7 @@
     let fleet = Fleet::start_with(ZONES, nodes, Some(policy)).await;
     declare(&fleet, with_limit(2, limit)).await;
     let counted = |shard| fleet.records.get(&format!("lease/rate-{shard}")).is_some();
-    until(|| (0..SHARDS).all(counted)).await;
+    until(|| (0..SHARD_COUNT).all(counted)).await;
     // Buckets fill up to what they hold.
     sleep(Duration::from_secs(4)).await;
     fleet
@@ -76,7 +76,7 @@
         let value = record.expect("a lease").value;
         String::from_utf8_lossy(&value).into_owned()
     };
-    let leases: Vec<String> = (0..SHARDS).map(lease).collect();
+    let leases: Vec<String> = (0..SHARD_COUNT).map(lease).collect();
     let holds = |name: &str| {
         let is_named = |lease: &String| {
             let mut matches = lease.match_indices(name);
@@ -180,7 +180,7 @@
     sleep(Duration::from_secs(8)).await;
     let runs = fleet.world.runs_of(TENANT);
     let busiest = busiest_window(&runs, BOUNDS.window);
-    let most = BOUNDS.most(limit);
+    let most = BOUNDS.max_operations(limit);
     assert!(busiest as f64 <= most, "{busiest} of {most}");
     // The tenant has what it may have, where nothing keeps it from that.
     let least = limit.per_second * BOUNDS.window.as_secs_f64();
@@ -234,7 +234,7 @@
             let runs = fleet.world.runs_of(TENANT);
             let since: Vec<Instant> = runs.into_iter().filter(|at| *at >= from).collect();
             let busiest = busiest_window(&since, BOUNDS.window);
-            let most = BOUNDS.most(lower);
+            let most = BOUNDS.max_operations(lower);
             let after = lowered.elapsed();
             assert!(busiest as f64 <= most, "{busiest} of {most}, {after:?}");
         }
@@ -303,11 +303,11 @@
     panic!("nothing was refused");
 }
 
-fn share(per_second: f64, capacity: f64, first: f64) -> BucketShare {
+fn share(per_second: f64, capacity: f64, initial: f64) -> BucketShare {
     BucketShare {
         per_second,
         capacity,
-        first,
+        initial,
     }
 }
 
@@ -371,10 +371,10 @@
     let window = BOUNDS.window;
     let shares = BOUNDS.share(limit);
     let without_first = BucketShare {
-        first: 0.0,
+        initial: 0.0,
         ..shares
     };
-    let mut buckets: Vec<TokenBucket> = (0..SHARDS)
+    let mut buckets: Vec<TokenBucket> = (0..SHARD_COUNT)
         .map(|_| TokenBucket::new(shares, began))
         .collect();
     let mut runs = Vec::new();
@@ -386,7 +386,7 @@
                 true => shares,
                 false => without_first,
             };
-            buckets = (0..SHARDS)
+            buckets = (0..SHARD_COUNT)
                 .map(|_| TokenBucket::new(begins_with, now))
                 .collect();
         }
@@ -413,8 +413,13 @@
 #[case::large(196.0, 196.0)]
 fn the_sum_holds_with_takeovers_in_a_window(#[case] per_second: f64, #[case] burst: f64) {
     let limit = RateLimit { per_second, burst };
-    let busiest = busiest_of_model(limit, BOUNDS.permit_life(), &[1_700, 1_900, 2_100], false);
-    assert!(busiest <= BOUNDS.most(limit), "{busiest}");
+    let busiest = busiest_of_model(
+        limit,
+        BOUNDS.permit_lifetime(),
+        &[1_700, 1_900, 2_100],
+        false,
+    );
+    assert!(busiest <= BOUNDS.max_operations(limit), "{busiest}");
 }
 
 /// Mistakes that the sum must show: permits that last for long, and counters that all begin
@@ -427,9 +432,9 @@
         per_second: 196.0,
         burst: 196.0,
     };
-    let life = BOUNDS.permit_life() * lives;
+    let life = BOUNDS.permit_lifetime() * lives;
     let busiest = busiest_of_model(limit, life, &[1_700, 1_900, 2_100], firsts);
-    assert!(busiest > BOUNDS.most(limit), "{busiest}");
+    assert!(busiest > BOUNDS.max_operations(limit), "{busiest}");
 }
 
 /// All counters are turned away by the store, or hear nothing of it, while it serves the
@@ -446,7 +451,7 @@
     };
     let fleet = fleet_with(LARGE, limit).await;
     let lost = counters(&fleet);
-    assert_eq!(lost.len(), SHARDS);
+    assert_eq!(lost.len(), SHARD_COUNT);
     for node in &lost {
         let name = &fleet.nodes[*node].name;
         match silent {
--- a/crates/engine/tests/rate_partial.rs
+++ b/crates/engine/tests/rate_partial.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use stilequay_engine::engine::Engine;
-use stilequay_engine::rate::{BucketShare, RateBounds, SHARDS, TokenBucket, permit};
+use stilequay_engine::rate::{BucketShare, RateBounds, SHARD_COUNT, TokenBucket, permit};
 use stilequay_engine::residency::Residency;
 use stilequay_engine::tenant::{Credential, RateLimit, Tenant, TenantPolicy};
 use stilequay_engine::verdict::FailureReason;
@@ -54,7 +54,7 @@
     next.credentials
         .insert(Credential::of_key(KEY), "busy".into());
     fleet.configuration.send_replace(next);
-    until(|| (0..SHARDS).all(|shard| counter_of(&fleet, shard).is_some())).await;
+    until(|| (0..SHARD_COUNT).all(|shard| counter_of(&fleet, shard).is_some())).await;
     sleep(Duration::from_secs(16)).await;
     fleet
 }
@@ -63,14 +63,16 @@
 fn counter_of(fleet: &Fleet, shard: usize) -> Option<usize> {
     let mut nodes = 0..fleet.nodes.len();
     nodes.find(|node| {
-        let mut counted = fleet.nodes[*node].engine.counters().counted();
+        let mut counted = fleet.nodes[*node].engine.counters().counted_shards();
         counted.any(|counted| counted == shard)
     })
 }
 
 /// A third of the processes, among them the counters of `shards` of the shards.
 fn a_third(fleet: &Fleet, shards: usize) -> Vec<usize> {
-    let counters: Vec<usize> = (0..SHARDS).filter_map(|s| counter_of(fleet, s)).collect();
+    let counters: Vec<usize> = (0..SHARD_COUNT)
+        .filter_map(|s| counter_of(fleet, s))
+        .collect();
     let mut third: Vec<usize> = counters[..shards].to_vec();
     let others = (0..LARGE).filter(|node| !counters.contains(node));
     third.extend(others.step_by(2));
@@ -140,7 +142,7 @@
         asking.spawn(async move {
             let asked = Instant::now();
             let deadline = asked + Duration::from_secs(1);
-            let drawn = permit::draw(&engine, &tenant(), deadline).await;
+            let drawn = permit::acquire(&engine, &tenant(), deadline).await;
             Drawn {
                 at,
                 took: asked.elapsed(),
@@ -171,7 +173,7 @@
 #[tokio::test(start_paused = true)]
 async fn nobody_waits_for_counters_that_are_lost(#[case] loss: Loss) {
     let mut fleet = fleet().await;
-    let lost = a_third(&fleet, SHARDS.div_ceil(2));
+    let lost = a_third(&fleet, SHARD_COUNT.div_ceil(2));
     lose(&mut fleet, &lost, loss);
     let left: Vec<usize> = (0..LARGE).filter(|node| !lost.contains(node)).collect();
     let drawn = usual_load(&fleet, &left, Duration::from_secs(9)).await;
@@ -211,7 +213,7 @@
 #[tokio::test(start_paused = true)]
 async fn successors_grant_within_a_second(#[case] loss: Loss) {
     let mut fleet = fleet().await;
-    let lost = a_third(&fleet, SHARDS);
+    let lost = a_third(&fleet, SHARD_COUNT);
     lose(&mut fleet, &lost, loss);
     let left: Vec<usize> = (0..LARGE).filter(|node| !lost.contains(node)).collect();
     let drawn = usual_load(&fleet, &left, Duration::from_millis(2_000)).await;
@@ -221,7 +223,7 @@
     assert_eq!(count(&later, FailureReason::RateUnknown), 0, "{later:?}");
     let all = early.iter().chain(&later);
     let granted = all.filter(|one| one.refusal.is_none()).count();
-    let first = BOUNDS.share(LIMIT).first.floor() * SHARDS as f64;
+    let first = BOUNDS.share(LIMIT).initial.floor() * SHARD_COUNT as f64;
     // One sixth may be left in a bucket that nobody had time to find.
     assert!(granted as f64 >= first * 0.8, "{granted} of {first}");
 }
@@ -236,7 +238,7 @@
     sleep(Duration::from_millis(6_000)).await;
     let mut left = (0..LARGE).filter(|node| *node != lost);
     let counts = |node: usize| {
-        let mut counted = fleet.nodes[node].engine.counters().counted();
+        let mut counted = fleet.nodes[node].engine.counters().counted_shards();
         counted.any(|shard| shard == 0)
     };
     assert!(left.any(counts));
@@ -246,13 +248,15 @@
 #[tokio::test(start_paused = true)]
 async fn each_shard_has_a_counter_of_its_own() {
     let fleet = fleet().await;
-    let mut counters: Vec<usize> = (0..SHARDS).filter_map(|s| counter_of(&fleet, s)).collect();
+    let mut counters: Vec<usize> = (0..SHARD_COUNT)
+        .filter_map(|s| counter_of(&fleet, s))
+        .collect();
     counters.sort_unstable();
     counters.dedup();
-    assert_eq!(counters.len(), SHARDS);
+    assert_eq!(counters.len(), SHARD_COUNT);
     let in_zone = |zone: usize| counters.iter().filter(move |n| **n % ZONES.len() == zone);
     for zone in 0..ZONES.len() {
-        assert_eq!(in_zone(zone).count(), SHARDS / ZONES.len());
+        assert_eq!(in_zone(zone).count(), SHARD_COUNT / ZONES.len());
     }
 }
 
@@ -282,7 +286,7 @@
     for round in 0..2_000 {
         let engine = &fleet.nodes[round % LARGE].engine;
         let deadline = Instant::now() + Duration::from_secs(1);
-        if let Err(failure) = permit::draw(engine, &tenant(), deadline).await {
+        if let Err(failure) = permit::acquire(engine, &tenant(), deadline).await {
             told.push(failure.retry_after.expect("a time to come back"));
         }
         sleep(Duration::from_millis(1)).await;
@@ -311,9 +315,9 @@
 async fn ask_for_ever(engine: Arc<Engine>, granted: Arc<Mutex<Vec<Instant>>>) {
     loop {
         let deadline = Instant::now() + Duration::from_secs(1);
-        let drawn = permit::draw(&engine, &tenant(), deadline).await;
+        let drawn = permit::acquire(&engine, &tenant(), deadline).await;
         let now = Instant::now();
-        if drawn.is_ok_and(|permit| permit.is_good(now)) {
+        if drawn.is_ok_and(|permit| permit.is_valid(now)) {
             granted.lock().unwrap().push(now);
         }
         sleep(Duration::from_millis(30)).await;
@@ -338,7 +342,7 @@
     }
     sleep(Duration::from_secs(2)).await;
     for _ in 0..times {
-        let lost = a_third(&fleet, SHARDS.div_ceil(2));
+        let lost = a_third(&fleet, SHARD_COUNT.div_ceil(2));
         lose(&mut fleet, &lost, loss);
         sleep(Duration::from_millis(2_500)).await;
         heal(&fleet, &lost);
@@ -347,7 +351,7 @@
     sleep(Duration::from_secs(8)).await;
     let granted = granted.lock().unwrap().clone();
     let busiest = busiest_window(&granted);
-    let most = BOUNDS.most(LIMIT);
+    let most = BOUNDS.max_operations(LIMIT);
     assert!(busiest as f64 <= most, "{busiest} of {most}");
 }
 
@@ -374,7 +378,7 @@
     let began = Instant::now();
     let share = BOUNDS.share(limit);
     let mut granted = Vec::new();
-    for _ in 0..SHARDS {
+    for _ in 0..SHARD_COUNT {
         let mut buckets = vec![(TokenBucket::new(share, began), None)];
         let mut counts_since = began;
         for step in 0..2_000_u32 {
@@ -392,7 +396,7 @@
                 let has_first = now - counts_since >= least || counts_since == began;
                 counts_since = now;
                 let begins_with = BucketShare {
-                    first: if has_first { share.first } else { 0.0 },
+                    initial: if has_first { share.initial } else { 0.0 },
                     ..share
                 };
                 let fills_from = match mistake {
@@ -439,7 +443,7 @@
         let burst = per_second * seconds_of_burst;
         let limit = RateLimit { per_second, burst };
         let busiest = busiest_of_model(limit, &takeovers, Mistake::None);
-        prop_assert!(busiest as f64 <= BOUNDS.most(limit), "{busiest}");
+        prop_assert!(busiest as f64 <= BOUNDS.max_operations(limit), "{busiest}");
     }
 }
 
@@ -455,9 +459,15 @@
     };
     let takeovers: Vec<Duration> = takeovers.into_iter().map(Duration::from_millis).collect();
     let busiest = busiest_of_model(MODEL_LIMIT, &takeovers, mistake);
-    assert!(busiest as f64 > BOUNDS.most(MODEL_LIMIT), "{busiest}");
+    assert!(
+        busiest as f64 > BOUNDS.max_operations(MODEL_LIMIT),
+        "{busiest}"
+    );
     let sound = busiest_of_model(MODEL_LIMIT, &takeovers, Mistake::None);
-    assert!(sound as f64 <= BOUNDS.most(MODEL_LIMIT), "{sound}");
+    assert!(
+        sound as f64 <= BOUNDS.max_operations(MODEL_LIMIT),
+        "{sound}"
+    );
 }
 
 /// A bucket that is not filled yet grants what it begins with, and tells of the time until it
@@ -467,7 +477,7 @@
     let share = BucketShare {
         per_second: 10.0,
         capacity: 5.0,
-        first: 2.0,
+        initial: 2.0,
     };
     let now = Instant::now();
     let fills_from = now + Duration::from_millis(700);
