--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -495,12 +495,12 @@
     fn connection_share(&self, member: &Member) -> usize {
         let capacity = self.capacity(member);
         let processes = self.processes();
-        if capacity.suffices_for(processes) {
+        if capacity.allows_direct_connections(processes) {
             return connection_share(capacity.connections, processes);
         }
         match self.homes.is_candidate(member) {
-            true => capacity.home_share(),
-            false => placement::LEAST_SHARE,
+            true => capacity.connections_per_home(),
+            false => placement::MIN_PROCESS_CONNECTIONS,
         }
     }
 
@@ -513,7 +513,8 @@
     /// Whether all processes run their sessions' statements at `member` over connections of
     /// their own.
     pub fn all_connect(&self, member: &Member) -> bool {
-        self.capacity(member).suffices_for(self.processes())
+        self.capacity(member)
+            .allows_direct_connections(self.processes())
     }
 
     /// Whether this process may have connections to the member called `id`, so that its
@@ -530,9 +531,9 @@
         let members = directory.members_of(group);
         let capacity = members.first().map(|member| self.capacity(member));
         let processes = self.processes();
-        match capacity.is_none_or(|capacity| capacity.suffices_for(processes)) {
+        match capacity.is_none_or(|capacity| capacity.allows_direct_connections(processes)) {
             true => processes,
-            false => placement::HOMES,
+            false => placement::HOMES_PER_MEMBER,
         }
     }
 
--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -25,7 +25,7 @@
 
 use crate::engine::Engine;
 use crate::events::{DependencyMonitor, millis};
-use crate::home::placement::Source;
+use crate::home::placement::StoreSource;
 use crate::leadership::duty::Duty;
 use crate::leadership::fleet;
 use crate::link::frame::{FeedVersions, FollowedVersions, News};
@@ -308,12 +308,12 @@
             continue;
         }
         let source = match duty.check() {
-            Some(_) => Source::Store,
-            None => engine.homes().source(&engine.settings().zone),
+            Some(_) => StoreSource::Store,
+            None => engine.homes().store_source(&engine.settings().zone),
         };
         match source {
-            Source::Store => follow_store(engine, &mut search).await,
-            Source::Peers(peers) => {
+            StoreSource::Store => follow_store(engine, &mut search).await,
+            StoreSource::Peers(peers) => {
                 let learned = follow_peers(engine, &peers, &mut search).await;
                 dependency.note(engine.events(), learned.err());
             }
--- a/crates/engine/src/following/search.rs
+++ b/crates/engine/src/following/search.rs
@@ -154,11 +154,11 @@
 /// what they know now; the link to the first that tells something recent.
 async fn ask_many(engine: &Engine, with_scouts: bool) -> Option<(Arc<Link>, Step)> {
     let homes = engine.homes();
-    let elsewhere = homes.followers_elsewhere(&engine.settings().zone);
+    let elsewhere = homes.followers_in_other_zones(&engine.settings().zone);
     let elsewhere = elsewhere
         .into_iter()
         .map(|address| (address, Step::Elsewhere));
-    let scouts = homes.draw_others(if with_scouts { SCOUTS } else { 0 });
+    let scouts = homes.random_peers(if with_scouts { SCOUTS } else { 0 });
     let scouts = scouts.into_iter().map(|address| (address, Step::Scout));
     let questions = elsewhere.chain(scouts).map(|(address, step)| async move {
         let link = homes.links().first_usable(&[address]).await?;
--- a/crates/engine/src/home/mod.rs
+++ b/crates/engine/src/home/mod.rs
@@ -56,20 +56,22 @@
 
 /// Asks the keeper of the evidence of `group`, which reads the store for the whole fleet;
 /// returns whether that has brought any. The keeper itself asks nobody.
-pub async fn ask_keeper(engine: &Engine, group: &Group) -> bool {
+pub async fn ask_evidence_reader(engine: &Engine, group: &Group) -> bool {
     let directory = engine.directory();
     let Some(block) = placement::block_of(directory.group_names(), group.name()) else {
         return false;
     };
     let asked = Instant::now();
-    let region = region_of_most(engine, block.groups);
-    let keeper = engine.homes().choose_keeper(block.index, region.as_ref());
-    let Some(link) = keeper.await else {
+    let region = most_common_region(engine, block.groups);
+    let reader = engine
+        .homes()
+        .choose_evidence_reader(block.index, region.as_ref());
+    let Some(link) = reader.await else {
         return false;
     };
     let beliefs = link.ask(group.name(), Wanted::StoreEvidence);
     if let Ok(Some(beliefs)) = timeout(ASK_TIMEOUT, beliefs).await {
-        take(engine, beliefs, asked);
+        apply_beliefs(engine, beliefs, asked);
     }
     let leader = group.leased_leader(Instant::now(), Duration::ZERO);
     match leader {
@@ -82,7 +84,7 @@
 
 /// The region in which most members of `groups` stand, the same everywhere; `None` where there
 /// is one region only.
-fn region_of_most(engine: &Engine, groups: &[GroupName]) -> Option<RegionName> {
+fn most_common_region(engine: &Engine, groups: &[GroupName]) -> Option<RegionName> {
     let topology = &engine.settings().topology;
     if topology.is_single_region() {
         return None;
@@ -110,17 +112,17 @@
     // Questions hold nothing of a caller.
     let anywhere = &Residency::ANYWHERE;
     let answered = timeout(ASK_TIMEOUT, async {
-        let link = engine.homes().choose(&member, None, anywhere).await?;
+        let link = engine.homes().choose_link(&member, None, anywhere).await?;
         link.get().ask(group.name(), wanted).await
     });
     let Ok(Some(beliefs)) = answered.await else {
         return false;
     };
-    take(engine, beliefs, asked);
+    apply_beliefs(engine, beliefs, asked);
     true
 }
 
-fn take(engine: &Engine, beliefs: Vec<GroupBelief>, asked: Instant) {
+fn apply_beliefs(engine: &Engine, beliefs: Vec<GroupBelief>, asked: Instant) {
     metrics::counter!("stilequay_peer_answers_total").increment(1);
     beliefs
         .into_iter()
--- a/crates/engine/src/home/placement.rs
+++ b/crates/engine/src/home/placement.rs
@@ -18,38 +18,38 @@
 
 /// Processes that hold the connections to one member while all of them live. Two, so that
 /// one is at hand when the other is lost.
-pub const HOMES: usize = 2;
+pub const HOMES_PER_MEMBER: usize = 2;
 /// Processes that may come to hold them: those that follow, for when homes are lost.
-pub const CANDIDATES: usize = 4;
+pub const CANDIDATES_PER_MEMBER: usize = 4;
 /// Least number of connections of one process that connects by itself: one can rest inside
 /// a transaction.
-pub const LEAST_SHARE: usize = 2;
+pub const MIN_PROCESS_CONNECTIONS: usize = 2;
 
 /// Processes that may come to count one shard of the rate limits. With six, a third of the
 /// fleet that is lost holds all of them once in seven hundred times.
-const COUNTER_CANDIDATES: usize = 6;
+const CANDIDATES_PER_SHARD: usize = 6;
 /// How many of them stand in other zones.
-const FAR_COUNTERS: usize = 2;
+const REMOTE_CANDIDATES_PER_SHARD: usize = 2;
 
 /// Processes that connect to a member by themselves for each statement that it runs at a
 /// time, at the most. More would fill its queue with what none of them knows of the others,
 /// and each new connection takes a place there too.
-const PROCESSES_PER_SLOT: usize = 6;
+const MAX_PROCESSES_PER_SLOT: usize = 6;
 /// Connections that one home uses for each statement that the member runs at a time, at the
 /// most: some rest inside transactions.
-const HOME_CONNECTIONS_PER_SLOT: usize = 10;
+const MAX_HOME_CONNECTIONS_PER_SLOT: usize = 10;
 /// Connections of a member that are left to orders and to processes not counted yet.
-pub const RESERVED: usize = 6;
+pub const RESERVED_CONNECTIONS: usize = 6;
 /// Processes of each zone from which the others learn what the store holds, in a large fleet.
-const FOLLOWERS: usize = 2;
+const FOLLOWERS_PER_ZONE: usize = 2;
 /// Processes of the whole fleet that follow the store itself, in a large fleet.
-const ROOTS: usize = 2;
+const STORE_FOLLOWERS: usize = 2;
 /// What they are ranked for.
-const ROOT_TASK: &[u8] = b"root";
+const STORE_FOLLOWER_TASK: &[u8] = b"root";
 /// Share of the cores of a zone's strongest machine from which on another one counts as strong.
-const STRONG_SHARE: f64 = 0.5;
+const STRONG_WEIGHT_SHARE: f64 = 0.5;
 /// Least weight of a process: one that tells less, or nothing that makes sense, has this.
-const LEAST_WEIGHT: f64 = 0.01;
+const MIN_WEIGHT: f64 = 0.01;
 
 /// What a member offers all processes together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -69,22 +69,26 @@
     /// assert!(member.suffices_for(6));
     /// assert!(!member.suffices_for(67));
     /// ```
-    pub fn suffices_for(self, processes: usize) -> bool {
-        let connections = processes.saturating_mul(LEAST_SHARE) <= self.connections;
-        let slots = self.slots.map(|slots| slots * PROCESSES_PER_SLOT);
+    pub fn allows_direct_connections(self, processes: usize) -> bool {
+        let connections = processes.saturating_mul(MIN_PROCESS_CONNECTIONS) <= self.connections;
+        let slots = self.slots.map(|slots| slots * MAX_PROCESSES_PER_SLOT);
         connections && slots.is_none_or(|most| processes <= most)
     }
 
     /// Connections that one home may use.
-    pub fn home_share(self) -> usize {
-        let share = self.connections.saturating_sub(RESERVED) / HOMES;
-        let most = self.slots.map(|slots| slots * HOME_CONNECTIONS_PER_SLOT);
-        share.min(most.unwrap_or(usize::MAX)).max(LEAST_SHARE)
+    pub fn connections_per_home(self) -> usize {
+        let share = self.connections.saturating_sub(RESERVED_CONNECTIONS) / HOMES_PER_MEMBER;
+        let most = self
+            .slots
+            .map(|slots| slots * MAX_HOME_CONNECTIONS_PER_SLOT);
+        share
+            .min(most.unwrap_or(usize::MAX))
+            .max(MIN_PROCESS_CONNECTIONS)
     }
 }
 
 /// Groups whose evidence one process keeps: the store tells it of all of them in one call.
-const BLOCK_GROUPS: usize = 64;
+const GROUPS_PER_BLOCK: usize = 64;
 
 /// Groups that stand beside one another by name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -99,8 +103,8 @@
 /// not one of them.
 pub fn block_of<'a>(groups: &'a [GroupName], group: &str) -> Option<GroupBlock<'a>> {
     let place = groups.binary_search_by(|name| (**name).cmp(group)).ok()?;
-    let index = place / BLOCK_GROUPS;
-    let groups = groups.chunks(BLOCK_GROUPS).nth(index)?;
+    let index = place / GROUPS_PER_BLOCK;
+    let groups = groups.chunks(GROUPS_PER_BLOCK).nth(index)?;
     Some(GroupBlock { index, groups })
 }
 
@@ -120,32 +124,38 @@
 /// Where `peer` stands among the candidates for `task`; the lowest comes first. A process of
 /// twice the weight comes first twice as often, and one that joins or leaves changes the
 /// order of no others (weighted rendezvous hashing).
-fn rendezvous(task: &[u8], peer: &Peer) -> f64 {
+fn rendezvous_score(task: &[u8], peer: &Peer) -> f64 {
     let hash = xxh3_64(&[task, b"/", peer.node.as_bytes()].concat());
     // The upper 53 bits fit a float's fraction; above zero and up to one.
     let uniform = ((hash >> 11) + 1) as f64 / (1_u64 << 53) as f64;
-    -uniform.ln() / peer.weight.max(LEAST_WEIGHT)
+    -uniform.ln() / peer.weight.max(MIN_WEIGHT)
 }
 
 /// The first `count` of `peers` for `task`.
-fn first_of<'a>(
+fn top_ranked<'a>(
     peers: impl Iterator<Item = &'a Peer>,
     task: &[u8],
     count: usize,
 ) -> impl Iterator<Item = &'a Peer> {
-    let mut ranked: Vec<(f64, &Peer)> = peers.map(|peer| (rendezvous(task, peer), peer)).collect();
+    let mut ranked: Vec<(f64, &Peer)> = peers
+        .map(|peer| (rendezvous_score(task, peer), peer))
+        .collect();
     ranked.sort_by(|(left, _), (right, _)| left.total_cmp(right));
     ranked.into_iter().take(count).map(|(_, peer)| peer)
 }
 
 /// The candidates for keeping the evidence of one block of groups among `fleet`; those that are
 /// `close` to the groups' members come first.
-fn rank_keepers(fleet: &[Peer], block: usize, is_close: impl Fn(&Peer) -> bool) -> Vec<Peer> {
+fn rank_evidence_readers(
+    fleet: &[Peer],
+    block: usize,
+    is_close: impl Fn(&Peer) -> bool,
+) -> Vec<Peer> {
     let task = format!("keeper/{block}");
     let (close, far): (Vec<&Peer>, Vec<&Peer>) = fleet.iter().partition(|peer| is_close(peer));
-    let close = first_of(close.into_iter(), task.as_bytes(), HOMES);
-    let far = first_of(far.into_iter(), task.as_bytes(), HOMES);
-    close.chain(far).take(HOMES).cloned().collect()
+    let close = top_ranked(close.into_iter(), task.as_bytes(), HOMES_PER_MEMBER);
+    let far = top_ranked(far.into_iter(), task.as_bytes(), HOMES_PER_MEMBER);
+    close.chain(far).take(HOMES_PER_MEMBER).cloned().collect()
 }
 
 /// The processes of `zone` among `fleet` that follow the store: strong ones, since each tells half
@@ -154,10 +164,14 @@
     let inside = || fleet.iter().filter(|peer| &*peer.zone == zone);
     let greatest = inside().map(|peer| peer.weight).fold(0.0, f64::max);
     let (strong, weak): (Vec<&Peer>, Vec<&Peer>) =
-        inside().partition(|peer| peer.weight >= greatest * STRONG_SHARE);
-    let strong = first_of(strong.into_iter(), b"follower", FOLLOWERS);
-    let weak = first_of(weak.into_iter(), b"follower", FOLLOWERS);
-    strong.chain(weak).take(FOLLOWERS).cloned().collect()
+        inside().partition(|peer| peer.weight >= greatest * STRONG_WEIGHT_SHARE);
+    let strong = top_ranked(strong.into_iter(), b"follower", FOLLOWERS_PER_ZONE);
+    let weak = top_ranked(weak.into_iter(), b"follower", FOLLOWERS_PER_ZONE);
+    strong
+        .chain(weak)
+        .take(FOLLOWERS_PER_ZONE)
+        .cloned()
+        .collect()
 }
 
 /// The candidates for `member` among `fleet`, the homes first, where no regions are known.
@@ -187,17 +201,17 @@
         fleet.iter().partition(|peer| &*peer.zone == zone);
     let (close, far): (Vec<&Peer>, Vec<&Peer>) =
         outside.into_iter().partition(|peer| is_close(peer));
-    let inside = first_of(inside.into_iter(), task, CANDIDATES);
+    let inside = top_ranked(inside.into_iter(), task, CANDIDATES_PER_MEMBER);
     let inside: Vec<&Peer> = inside.collect();
-    let close = first_of(close.into_iter(), task, CANDIDATES);
-    let far = first_of(far.into_iter(), task, CANDIDATES);
+    let close = top_ranked(close.into_iter(), task, CANDIDATES_PER_MEMBER);
+    let far = top_ranked(far.into_iter(), task, CANDIDATES_PER_MEMBER);
     let outside: Vec<&Peer> = close.chain(far).collect();
     let near = match outside.is_empty() {
-        true => CANDIDATES,
-        false => CANDIDATES - 1,
+        true => CANDIDATES_PER_MEMBER,
+        false => CANDIDATES_PER_MEMBER - 1,
     };
     let ranked = inside.into_iter().take(near).chain(outside);
-    ranked.take(CANDIDATES).cloned().collect()
+    ranked.take(CANDIDATES_PER_MEMBER).cloned().collect()
 }
 
 /// The candidates for counting `shard` of the rate limits among `fleet`, which stands in
@@ -210,20 +224,20 @@
         return Vec::new();
     };
     let inside = fleet.iter().filter(|peer| peer.zone == *zone);
-    let inside: Vec<&Peer> = first_of(inside, b"counter", fleet.len()).collect();
-    let mut near = dealt(inside, shard / count, SHARD_COUNT.div_ceil(count));
+    let inside: Vec<&Peer> = top_ranked(inside, b"counter", fleet.len()).collect();
+    let mut near = round_robin_order(inside, shard / count, SHARD_COUNT.div_ceil(count));
     let task = format!("counter/{shard}");
     let outside = fleet.iter().filter(|peer| peer.zone != *zone);
-    let far = first_of(outside, task.as_bytes(), COUNTER_CANDIDATES);
+    let far = top_ranked(outside, task.as_bytes(), CANDIDATES_PER_SHARD);
     let far: Vec<&Peer> = far.collect();
-    near.truncate(COUNTER_CANDIDATES - far.len().min(FAR_COUNTERS));
-    let ranked = near.into_iter().chain(far).take(COUNTER_CANDIDATES);
+    near.truncate(CANDIDATES_PER_SHARD - far.len().min(REMOTE_CANDIDATES_PER_SHARD));
+    let ranked = near.into_iter().chain(far).take(CANDIDATES_PER_SHARD);
     ranked.cloned().collect()
 }
 
 /// The order of `peers` for the task at `place` of `count`: first its own when they are dealt
 /// to the tasks in turn, then the others.
-fn dealt(mut peers: Vec<&Peer>, place: usize, count: usize) -> Vec<&Peer> {
+fn round_robin_order(mut peers: Vec<&Peer>, place: usize, count: usize) -> Vec<&Peer> {
     let first = place % peers.len().max(1);
     peers.rotate_left(first);
     let own = peers.iter().step_by(count);
@@ -238,7 +252,7 @@
     /// How many there are, known or not.
     processes: usize,
     candidates: HashMap<MemberId, Arc<[Peer]>>,
-    keepers: HashMap<(usize, Option<RegionName>), Arc<[Peer]>>,
+    evidence_readers: HashMap<(usize, Option<RegionName>), Arc<[Peer]>>,
     followers: HashMap<ZoneName, Arc<[Peer]>>,
     duty_order: Option<Arc<[Peer]>>,
     zones: Option<Arc<[ZoneName]>>,
@@ -249,7 +263,7 @@
 
 /// Where a process learns what the store holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Source {
+pub enum StoreSource {
     /// From the store itself.
     Store,
     /// From one of the processes that answer here, the first of them if it does.
@@ -288,7 +302,7 @@
         let mut order = self.ranked_followers();
         let is_follower = |peer: &&Peer| order.iter().any(|known| known.node == peer.node);
         let others = self.fleet.iter().filter(|peer| !is_follower(peer));
-        let others: Vec<Peer> = first_of(others, ROOT_TASK, self.fleet.len())
+        let others: Vec<Peer> = top_ranked(others, STORE_FOLLOWER_TASK, self.fleet.len())
             .cloned()
             .collect();
         order.extend(others);
@@ -301,7 +315,7 @@
     /// another zone than the first, if there is one.
     fn ranked_followers(&mut self) -> Vec<Peer> {
         let followers = self.all_followers();
-        let ranked = first_of(followers.iter(), ROOT_TASK, followers.len());
+        let ranked = top_ranked(followers.iter(), STORE_FOLLOWER_TASK, followers.len());
         let mut ranked: Vec<Peer> = ranked.cloned().collect();
         let elsewhere = ranked.iter().position(|peer| peer.zone != ranked[0].zone);
         if let Some(place) = elsewhere {
@@ -322,7 +336,7 @@
 }
 
 /// Half of all keys have the one of two first, half the other.
-fn spread_by(key: &[u8], addresses: &mut [SocketAddr]) {
+fn order_by_key(key: &[u8], addresses: &mut [SocketAddr]) {
     if xxh3_64(key) % 2 == 1 {
         addresses.reverse();
     }
@@ -358,7 +372,7 @@
         ranking.processes = processes;
         if ranking.fleet != fleet {
             ranking.candidates.clear();
-            ranking.keepers.clear();
+            ranking.evidence_readers.clear();
             ranking.followers.clear();
             ranking.duty_order = None;
             ranking.zones = None;
@@ -384,22 +398,22 @@
     }
 
     /// Where a process of `zone` learns what the store holds.
-    pub fn source(&self, zone: &ZoneName) -> Source {
+    pub fn store_source(&self, zone: &ZoneName) -> StoreSource {
         let (order, followers) = {
             let mut ranking = self.lock();
             (ranking.duty_order(), ranking.followers_of(zone))
         };
-        let roots = &order[..ROOTS.min(order.len())];
-        if self.is_among(roots) {
-            return Source::Store;
+        let store_followers = &order[..STORE_FOLLOWERS.min(order.len())];
+        if self.is_among(store_followers) {
+            return StoreSource::Store;
         }
         let peers = match self.is_among(&followers) {
-            true => roots,
+            true => store_followers,
             false => &followers,
         };
         let mut addresses: Vec<SocketAddr> = peers.iter().map(|peer| peer.address).collect();
-        self.spread(&mut addresses);
-        Source::Peers(addresses)
+        self.order_by_own_key(&mut addresses);
+        StoreSource::Peers(addresses)
     }
 
     /// This process's place in the order in which processes are to hold duties of the whole
@@ -420,10 +434,10 @@
 
     /// Where a few processes answer that follow the store for other zones than `zone`, not
     /// the same ones for each process that asks.
-    pub fn followers_elsewhere(&self, zone: &ZoneName) -> Vec<SocketAddr> {
+    pub fn followers_in_other_zones(&self, zone: &ZoneName) -> Vec<SocketAddr> {
         let followers = self.lock().all_followers();
         let elsewhere = followers.iter().filter(|peer| peer.zone != *zone);
-        let first = first_of(elsewhere, self.own.as_bytes(), FOLLOWERS);
+        let first = top_ranked(elsewhere, self.own.as_bytes(), FOLLOWERS_PER_ZONE);
         first.map(|peer| peer.address).collect()
     }
 
@@ -434,7 +448,7 @@
     }
 
     /// Where up to `count` other processes answer, drawn anew each time.
-    pub fn draw_others(&self, count: usize) -> Vec<SocketAddr> {
+    pub fn random_peers(&self, count: usize) -> Vec<SocketAddr> {
         let ranking = self.lock();
         let fleet = &ranking.fleet;
         let drawn = (0..count).filter_map(|_| fleet.choose(&mut rand::rng()));
@@ -443,8 +457,8 @@
     }
 
     /// Half of the fleet asks the one of two first, half the other.
-    fn spread(&self, addresses: &mut [SocketAddr]) {
-        spread_by(self.own.as_bytes(), addresses);
+    fn order_by_own_key(&self, addresses: &mut [SocketAddr]) {
+        order_by_key(self.own.as_bytes(), addresses);
     }
 
     /// The links to other processes.
@@ -459,11 +473,11 @@
     }
 
     /// The permits for this process's own connections to `member` while it reaches no home:
-    /// [`LEAST_SHARE`] of them, whatever they are used for.
+    /// [`MIN_PROCESS_CONNECTIONS`] of them, whatever they are used for.
     pub(super) fn direct_permits(&self, member: &Member) -> Arc<Semaphore> {
         let mut direct = lock(&self.direct);
         let permits = direct.entry(member.id.clone());
-        Arc::clone(permits.or_insert_with(|| Arc::new(Semaphore::new(LEAST_SHARE))))
+        Arc::clone(permits.or_insert_with(|| Arc::new(Semaphore::new(MIN_PROCESS_CONNECTIONS))))
     }
 
     /// The candidates for `member`, the homes first.
@@ -481,7 +495,8 @@
     /// Whether this process is a home of `member`; one that knows no other is.
     pub fn is_home(&self, member: &Member) -> bool {
         let candidates = self.candidates(member);
-        candidates.is_empty() || self.is_among(&candidates[..HOMES.min(candidates.len())])
+        candidates.is_empty()
+            || self.is_among(&candidates[..HOMES_PER_MEMBER.min(candidates.len())])
     }
 
     /// Whether this process may come to hold connections to `member` for others.
@@ -491,37 +506,37 @@
 
     /// The candidates for keeping the evidence of `block`, the keeper first, where no regions
     /// are known.
-    pub fn keepers(&self, block: usize) -> Arc<[Peer]> {
-        self.keepers_near(block, None)
+    pub fn evidence_readers(&self, block: usize) -> Arc<[Peer]> {
+        self.evidence_readers_near(block, None)
     }
 
     /// The candidates for keeping the evidence of `block`, the keeper first: processes of
     /// `region`, if there are any.
-    pub fn keepers_near(&self, block: usize, region: Option<&RegionName>) -> Arc<[Peer]> {
+    pub fn evidence_readers_near(&self, block: usize, region: Option<&RegionName>) -> Arc<[Peer]> {
         let mut ranking = self.lock();
         let key = (block, region.cloned());
-        if let Some(known) = ranking.keepers.get(&key) {
+        if let Some(known) = ranking.evidence_readers.get(&key) {
             return Arc::clone(known);
         }
         let is_close =
             |peer: &Peer| region.is_none() || self.topology.region_of(&peer.zone) == region;
-        let keepers: Arc<[Peer]> = rank_keepers(&ranking.fleet, block, is_close).into();
-        ranking.keepers.insert(key, Arc::clone(&keepers));
-        keepers
+        let readers: Arc<[Peer]> = rank_evidence_readers(&ranking.fleet, block, is_close).into();
+        ranking.evidence_readers.insert(key, Arc::clone(&readers));
+        readers
     }
 
     /// A link to the process that keeps the evidence of `block` near `region`, or to the one
     /// that follows it; `None` where that is this process, or none is reached.
-    pub async fn choose_keeper(
+    pub async fn choose_evidence_reader(
         &self,
         block: usize,
         region: Option<&RegionName>,
     ) -> Option<Arc<Link>> {
-        let keepers = self.keepers_near(block, region);
-        if keepers.first().is_none_or(|first| first.node == self.own) {
+        let readers = self.evidence_readers_near(block, region);
+        if readers.first().is_none_or(|first| first.node == self.own) {
             return None;
         }
-        let others = keepers.iter().take_while(|peer| peer.node != self.own);
+        let others = readers.iter().take_while(|peer| peer.node != self.own);
         let addresses: Vec<SocketAddr> = others.map(|peer| peer.address).collect();
         self.links.first_usable(&addresses).await
     }
@@ -588,7 +603,7 @@
     /// answers, else to one of those that follow, of those that `residency` allows. Where there
     /// are tenants, each has one of the homes that the whole fleet asks first, so that the
     /// connections which are good for that tenant only are found in one place.
-    pub async fn choose(
+    pub async fn choose_link(
         &self,
         member: &Member,
         tenant: Option<&TenantName>,
@@ -599,10 +614,10 @@
         let others: Vec<Allowed<&Peer>> = residency.select(&self.topology, others).collect();
         let first = others.first()?;
         let mut addresses: Vec<SocketAddr> = others.iter().map(|p| p.get().address).collect();
-        let homes = HOMES.min(addresses.len());
+        let homes = HOMES_PER_MEMBER.min(addresses.len());
         match tenant {
-            Some(tenant) => spread_by(tenant.as_bytes(), &mut addresses[..homes]),
-            None => self.spread(&mut addresses[..homes]),
+            Some(tenant) => order_by_key(tenant.as_bytes(), &mut addresses[..homes]),
+            None => self.order_by_own_key(&mut addresses[..homes]),
         }
         let (homes, rest) = addresses.split_at(homes);
         let link = match self.links.first_usable(homes).await {
--- a/crates/engine/src/home/remote.rs
+++ b/crates/engine/src/home/remote.rs
@@ -1,6 +1,6 @@
 //! Connections to a member by way of its homes.
 
-use super::placement::{CANDIDATES, Homes};
+use super::placement::{CANDIDATES_PER_MEMBER, Homes};
 use crate::directory::Member;
 use crate::link::Link;
 use crate::link::frame::{HomeCommand, HomeOutcome, NotSent, RunRequest, UnitId};
@@ -46,7 +46,11 @@
         member: &Member,
         tenant: Option<&TenantName>,
     ) -> Result<Box<dyn BackEndConnection>, ConnectError> {
-        if let Some(link) = self.homes.choose(member, tenant, &self.residency).await {
+        if let Some(link) = self
+            .homes
+            .choose_link(member, tenant, &self.residency)
+            .await
+        {
             let connection = RemoteConnection::new(Arc::clone(&self.homes), link, member, tenant);
             return Ok(Box::new(connection));
         }
@@ -140,18 +144,18 @@
         match command {
             Command::Set { name, value } => {
                 self.values.insert(name.clone(), value.clone());
-                Plan::Answer(self.done())
+                Plan::Answer(self.empty_answer())
             }
             Command::Prepare { name, prepared } => {
                 self.prepared.insert(name.clone(), prepared.clone());
-                Plan::Answer(self.done())
+                Plan::Answer(self.empty_answer())
             }
             Command::Reset => {
                 self.values.clear();
                 self.prepared.clear();
-                Plan::Answer(self.done())
+                Plan::Answer(self.empty_answer())
             }
-            Command::Rollback if self.unit.is_none() => Plan::Answer(self.done()),
+            Command::Rollback if self.unit.is_none() => Plan::Answer(self.empty_answer()),
             Command::Rollback => Plan::Forward(HomeCommand::Rollback),
             Command::Begin { read_only, after } => Plan::Forward(HomeCommand::Begin {
                 read_only: *read_only,
@@ -224,11 +228,15 @@
     }
 
     /// Leaves a home that runs nothing at the member; returns whether there is another.
-    async fn go_elsewhere(&mut self) -> bool {
+    async fn switch_home(&mut self) -> bool {
         self.unit = None;
         self.link().distrust();
         let (tenant, residency) = (self.tenant.as_ref(), self.link.residency());
-        match self.homes.choose(&self.member, tenant, residency).await {
+        match self
+            .homes
+            .choose_link(&self.member, tenant, residency)
+            .await
+        {
             Some(link) if !Arc::ptr_eq(link.get(), self.link()) => {
                 self.link = link;
                 true
@@ -238,7 +246,7 @@
     }
 
     /// Takes what came of a command that was sent.
-    fn take(&mut self, outcome: HomeOutcome) -> Result<Answer, LinkError> {
+    fn apply(&mut self, outcome: HomeOutcome) -> Result<Answer, LinkError> {
         match outcome {
             HomeOutcome::Answered(answer) => {
                 self.state = answer.state;
@@ -279,7 +287,7 @@
         }
     }
 
-    fn done(&self) -> Answer {
+    fn empty_answer(&self) -> Answer {
         Answer {
             rows: Vec::new(),
             outcome: Ok(Bytes::new()),
@@ -303,7 +311,7 @@
         };
         Answer {
             outcome: Err(refusal),
-            ..self.done()
+            ..self.empty_answer()
         }
     }
 }
@@ -317,22 +325,22 @@
         };
         if self.unit.is_some() {
             let outcome = self.forward(command).await?;
-            return self.take(outcome);
+            return self.apply(outcome);
         }
         let mut outcome = self.forward(command.clone()).await?;
         // A home that has just started, or hears nothing of the store: the next one may know
         // the member, and that it may be sent to.
-        for _ in 1..CANDIDATES {
+        for _ in 1..CANDIDATES_PER_MEMBER {
             let passed_on = matches!(
                 outcome,
                 HomeOutcome::NotSent(NotSent::UnknownMember | NotSent::MayNotSend(_))
             );
-            if !passed_on || !self.go_elsewhere().await {
+            if !passed_on || !self.switch_home().await {
                 break;
             }
             outcome = self.forward(command.clone()).await?;
         }
-        self.take(outcome)
+        self.apply(outcome)
     }
 
     async fn control(&mut self, _: Control) -> Result<MemberReport, LinkError> {
--- a/crates/engine/src/home/unit.rs
+++ b/crates/engine/src/home/unit.rs
@@ -18,10 +18,10 @@
 
 /// How long a command goes on for which nobody waits any more: most are answered soon, and
 /// the connection stays good.
-const ABANDONED_WAIT: Duration = Duration::from_millis(400);
+const ABANDONED_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The code of what is not sent any more, in events.
-const HELD_BACK_CODE: &[u8] = b"HOME_MAY_NOT_SEND";
+const MAY_NOT_SEND_CODE: &[u8] = b"HOME_MAY_NOT_SEND";
 
 /// A unit on its connection.
 #[derive(Debug)]
@@ -84,7 +84,7 @@
 
     /// Runs a command; for a moment only where nobody waits for it any more. `None` where
     /// it was given up.
-    pub async fn run_for(
+    pub async fn run_unless_abandoned(
         &mut self,
         request: RunRequest,
         rx: &mut mpsc::Receiver<RunRequest>,
@@ -98,7 +98,7 @@
         }
         tokio::select! {
             outcome = &mut running => Some(outcome),
-            () = sleep(ABANDONED_WAIT) => {
+            () = sleep(ABANDONED_TIMEOUT) => {
                 pool.note_unanswered(sent);
                 None
             }
@@ -107,7 +107,7 @@
 
     async fn run(&mut self, request: RunRequest) -> HomeOutcome {
         if let Err(reason) = self.pool.check_sending() {
-            return self.held_back(reason);
+            return self.sending_refused(reason);
         }
         let values = Arc::new(request.values);
         if let Err(error) = self.connection.put_values(&values).await {
@@ -115,14 +115,14 @@
         }
         let leader = self.group.as_leader(&self.pool.member().id);
         let sent = Instant::now();
-        let commits = self.is_commit(&request.command);
-        if commits && leader.is_some() {
+        let is_commit = self.is_commit(&request.command);
+        if is_commit && leader.is_some() {
             self.group.record_commit_sent(sent);
         }
         match self.run_command(request.command).await {
             Ok(answer) => {
                 self.has_begun = true;
-                self.learn(leader.as_ref(), sent, commits, &answer);
+                self.record_evidence(leader.as_ref(), sent, is_commit, &answer);
                 HomeOutcome::Answered(answer)
             }
             Err(RunError::Before(error)) => self.failed_before(error.to_string()),
@@ -141,7 +141,7 @@
 
     /// Nothing is sent any more. What was done in a transaction goes with its connection: the
     /// caller's next command, a commit too, is refused as one that the member has not run.
-    fn held_back(&self, reason: MayNotSend) -> HomeOutcome {
+    fn sending_refused(&self, reason: MayNotSend) -> HomeOutcome {
         if !self.has_begun {
             return HomeOutcome::NotSent(NotSent::MayNotSend(reason.to_string()));
         }
@@ -149,7 +149,7 @@
             rows: Vec::new(),
             outcome: Err(Refusal {
                 kind: RefusalKind::Unreachable,
-                code: Bytes::from_static(HELD_BACK_CODE),
+                code: Bytes::from_static(MAY_NOT_SEND_CODE),
                 text: Bytes::from(reason.to_string()),
             }),
             state: TransactionState::Failed,
@@ -210,9 +210,15 @@
 
     /// Takes what an answer tells of the leader: the evidence of the whole fleet's commits
     /// comes together here.
-    fn learn(&self, leader: Option<&UsableLeader>, sent: Instant, commits: bool, answer: &Answer) {
+    fn record_evidence(
+        &self,
+        leader: Option<&UsableLeader>,
+        sent: Instant,
+        is_commit: bool,
+        answer: &Answer,
+    ) {
         let Some(leader) = leader else { return };
-        if commits && answer.outcome.is_ok() {
+        if is_commit && answer.outcome.is_ok() {
             self.group
                 .record_commit(leader, sent, answer.position, self.replicated);
         } else if let Some(position) = answer.position {
--- a/crates/engine/src/leadership/access.rs
+++ b/crates/engine/src/leadership/access.rs
@@ -109,7 +109,7 @@
 /// Asks the keeper of the group's evidence, then the holder of the lease, the store, and other
 /// processes.
 pub async fn renew_evidence(engine: &Engine, group: &Group) {
-    if home::ask_keeper(engine, group).await {
+    if home::ask_evidence_reader(engine, group).await {
         return;
     }
     if vouching::renew(engine, group).await {
--- a/crates/engine/src/leadership/fleet.rs
+++ b/crates/engine/src/leadership/fleet.rs
@@ -6,7 +6,7 @@
 use super::fleet_index::FleetIndex;
 use crate::encoding;
 use crate::engine::Engine;
-use crate::home::placement::{LEAST_SHARE, Peer, RESERVED};
+use crate::home::placement::{MIN_PROCESS_CONNECTIONS, Peer, RESERVED_CONNECTIONS};
 use crate::names::{NodeName, ZoneName};
 use crate::ports::{PutOutcome, Record};
 use serde::{Deserialize, Serialize};
@@ -69,8 +69,8 @@
 
 /// Connections that one of `processes` may use of a member that accepts `accepted`.
 pub fn connection_share(accepted: usize, processes: usize) -> usize {
-    let share = accepted.saturating_sub(RESERVED) / processes.max(1);
-    share.clamp(LEAST_SHARE, GREATEST_SHARE)
+    let share = accepted.saturating_sub(RESERVED_CONNECTIONS) / processes.max(1);
+    share.clamp(MIN_PROCESS_CONNECTIONS, GREATEST_SHARE)
 }
 
 impl NodeRecord {
--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -218,7 +218,7 @@
         loop {
             let exchange = request.exchange;
             let (told, began) = (Forwarded::of(&request), Instant::now());
-            let Some(outcome) = unit.run_for(request, &mut rx).await else {
+            let Some(outcome) = unit.run_unless_abandoned(request, &mut rx).await else {
                 return;
             };
             self.note(&told, &outcome, began);
--- a/crates/engine/src/slow_start/allot.rs
+++ b/crates/engine/src/slow_start/allot.rs
@@ -6,7 +6,7 @@
 use crate::encoding;
 use crate::engine::Engine;
 use crate::events::{Event, millis};
-use crate::home::placement::{CANDIDATES, Peer};
+use crate::home::placement::{CANDIDATES_PER_MEMBER, Peer};
 use crate::leadership::fleet;
 use crate::names::{MemberId, NodeName};
 use crate::ports::RecordStoreError;
@@ -166,7 +166,7 @@
         return Senders::All(vec![engine.settings().node.clone()]);
     }
     if !engine.all_connect(member) {
-        first.truncate(CANDIDATES);
+        first.truncate(CANDIDATES_PER_MEMBER);
         return Senders::Candidates(first);
     }
     let all = names(&engine.homes().fleet());
--- a/crates/engine/tests/fleet_start.rs
+++ b/crates/engine/tests/fleet_start.rs
@@ -5,7 +5,7 @@
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use stilequay_engine::home::placement::Source;
+use stilequay_engine::home::placement::StoreSource;
 use support::groups::{members_of_groups, with_groups};
 use support::{Fleet, Node, OWN_DATABASE, until};
 use tokio::time::{Instant, sleep};
@@ -122,7 +122,7 @@
     let is_bystander = |node: &Node| {
         let zone = &node.engine.settings().zone;
         let homes = node.engine.homes();
-        homes.source(zone) != Source::Store && !homes.is_follower(zone)
+        homes.store_source(zone) != StoreSource::Store && !homes.is_follower(zone)
     };
     let node = fleet.nodes.iter().rposition(is_bystander).expect("one");
     let name = fleet.nodes[node].name.clone();
--- a/crates/engine/tests/following.rs
+++ b/crates/engine/tests/following.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use stilequay_engine::configuration::Configuration;
-use stilequay_engine::home::placement::Source;
+use stilequay_engine::home::placement::StoreSource;
 use stilequay_engine::names::TenantName;
 use stilequay_engine::residency::Residency;
 use stilequay_engine::tenant::{Credential, Tenant, TenantPolicy};
@@ -82,9 +82,13 @@
 
 impl Roles {
     fn of(fleet: &Fleet) -> Self {
-        let source = |node: &Node| node.engine.homes().source(&node.engine.settings().zone);
+        let source = |node: &Node| {
+            node.engine
+                .homes()
+                .store_source(&node.engine.settings().zone)
+        };
         let all = 0..fleet.nodes.len();
-        let is_root = |place: &usize| source(&fleet.nodes[*place]) == Source::Store;
+        let is_root = |place: &usize| source(&fleet.nodes[*place]) == StoreSource::Store;
         let is_follower = |place: &usize| {
             let engine = &fleet.nodes[*place].engine;
             engine.homes().is_follower(&engine.settings().zone)
--- a/crates/engine/tests/homes.rs
+++ b/crates/engine/tests/homes.rs
@@ -11,7 +11,7 @@
 use stilequay_engine::directory::{Departure, Directory, Member};
 use stilequay_engine::engine::{Engine, StopPhase};
 use stilequay_engine::home::placement::{
-    CANDIDATES, Capacity, HOMES, Peer, Source, block_of, rank,
+    CANDIDATES_PER_MEMBER, Capacity, HOMES_PER_MEMBER, Peer, StoreSource, block_of, rank,
 };
 use stilequay_engine::names::GroupName;
 use stilequay_engine::pool::MemberPool;
@@ -40,7 +40,10 @@
     let is_to = |node: &Node| {
         let zone = &node.engine.settings().zone;
         let holds = fleet.lease().holder.as_str() == node.name;
-        (node.engine.homes().source(zone) == Source::Store, holds)
+        (
+            node.engine.homes().store_source(zone) == StoreSource::Store,
+            holds,
+        )
     };
     until(|| {
         fleet.nodes.iter().all(|node| match is_to(node) {
@@ -88,7 +91,7 @@
 fn homes_of(fleet: &Fleet, name: &str) -> Vec<usize> {
     let member = member(fleet, name);
     let candidates = fleet.nodes[0].engine.homes().candidates(&member);
-    let homes = candidates.iter().take(HOMES);
+    let homes = candidates.iter().take(HOMES_PER_MEMBER);
     let place = |peer: &Peer| fleet.nodes.iter().position(|node| *node.name == *peer.node);
     homes.map(|peer| place(peer).expect("a process")).collect()
 }
@@ -129,7 +132,7 @@
     #[case] suffices: bool,
 ) {
     let capacity = Capacity { connections, slots };
-    assert_eq!(capacity.suffices_for(processes), suffices);
+    assert_eq!(capacity.allows_direct_connections(processes), suffices);
 }
 
 #[rstest]
@@ -141,7 +144,10 @@
     #[case] slots: Option<usize>,
     #[case] share: usize,
 ) {
-    assert_eq!(Capacity { connections, slots }.home_share(), share);
+    assert_eq!(
+        Capacity { connections, slots }.connections_per_home(),
+        share
+    );
 }
 
 fn peers(count: usize) -> Vec<Peer> {
@@ -160,7 +166,7 @@
     let member = member(&fleet, "a");
     let all = peers(90);
     let ranked = rank(&all, &member);
-    assert_eq!(ranked.len(), CANDIDATES);
+    assert_eq!(ranked.len(), CANDIDATES_PER_MEMBER);
     // The last one is elsewhere: it watches the member when the whole zone is cut off.
     let (outside, inside) = ranked.split_last().expect("candidates");
     assert!(inside.iter().all(|peer| peer.zone == member.zone));
@@ -178,8 +184,11 @@
     // Where the first is gone the second follows.
     let left: Vec<Peer> = all.iter().filter(|p| **p != ranked[0]).cloned().collect();
     let after = rank(&left, &member);
-    assert_eq!(after[..CANDIDATES - 2], ranked[1..CANDIDATES - 1]);
-    assert_eq!(after[CANDIDATES - 1], *outside);
+    assert_eq!(
+        after[..CANDIDATES_PER_MEMBER - 2],
+        ranked[1..CANDIDATES_PER_MEMBER - 1]
+    );
+    assert_eq!(after[CANDIDATES_PER_MEMBER - 1], *outside);
     // A zone that has too few is helped out by others, and the other way round.
     let of_zone = |zone: &str, count| {
         let peers = all.iter().filter(|peer| &*peer.zone == zone);
@@ -195,7 +204,7 @@
     let helped = rank(&few, &member);
     assert_eq!(zones(&helped), ["zone-a", "zone-b", "zone-b", "zone-b"]);
     let alone = rank(&of_zone("zone-a", 9), &member);
-    assert_eq!(zones(&alone), ["zone-a"; CANDIDATES]);
+    assert_eq!(zones(&alone), ["zone-a"; CANDIDATES_PER_MEMBER]);
     assert!(rank(&[], &member).is_empty());
 }
 
@@ -663,22 +672,24 @@
     }
 }
 
-/// A keeper of evidence that is cut off from everybody holds the others up for a moment only:
+/// An evidence reader that is cut off from everybody holds the others up for a moment only:
 /// they ask the one that follows.
 #[tokio::test(start_paused = true)]
-async fn a_keeper_that_is_cut_off_is_not_asked_again_and_again() {
+async fn an_evidence_reader_that_is_cut_off_is_not_asked_again_and_again() {
     let fleet = large_fleet().await;
-    let keeper = fleet.nodes[0].engine.homes().keepers(0)[0].node.to_string();
+    let reader = fleet.nodes[0].engine.homes().evidence_readers(0)[0]
+        .node
+        .to_string();
     let homes = homes_of(&fleet, "a");
     // A home of the leader, which asks nobody else for evidence first.
-    let home = homes.iter().find(|home| fleet.nodes[**home].name != keeper);
+    let home = homes.iter().find(|home| fleet.nodes[**home].name != reader);
     let mut client = fleet.session(*home.expect("one"), LEADER_DATABASE);
-    // Nobody writes: all evidence is the store's, and the link to the keeper is open.
+    // Nobody writes: all evidence is the store's, and the link to the evidence reader is open.
     assert!(slow_reads(&mut client, 20).await <= 1);
-    for other in fleet.nodes.iter().filter(|node| node.name != keeper) {
-        fleet.network().cut(&keeper, &other.name);
+    for other in fleet.nodes.iter().filter(|node| node.name != reader) {
+        fleet.network().cut(&reader, &other.name);
     }
-    fleet.records.refuse_node(&keeper, true);
+    fleet.records.refuse_node(&reader, true);
     let slow = slow_reads(&mut client, 60).await;
     assert!(slow <= 5, "{slow}");
 }
--- a/crates/engine/tests/regions.rs
+++ b/crates/engine/tests/regions.rs
@@ -9,7 +9,9 @@
 use std::time::Duration;
 use stilequay_engine::directory::{Departure, Member, MemberState, Role};
 use stilequay_engine::evacuation::Evacuations;
-use stilequay_engine::home::placement::{CANDIDATES, HOMES, Peer, rank, rank_by_region};
+use stilequay_engine::home::placement::{
+    CANDIDATES_PER_MEMBER, HOMES_PER_MEMBER, Peer, rank, rank_by_region,
+};
 use stilequay_engine::leadership::choice::{FenceSurvey, PreviousLeader};
 use stilequay_engine::leadership::survey::{Response, Surveyed};
 use stilequay_engine::names::{RegionName, ZoneName};
@@ -191,28 +193,28 @@
 fn candidates_are_of_another_region_where_there_are_no_others() {
     let fleet = peers_in(&["zone-a", "zone-c"], 6);
     let candidates = rank_by_region(&fleet, &member_in("zone-a"), &topology());
-    assert_eq!(&*candidates[CANDIDATES - 1].zone, "zone-c");
+    assert_eq!(&*candidates[CANDIDATES_PER_MEMBER - 1].zone, "zone-c");
     let fleet = peers_in(&["zone-c"], 6);
     let candidates = rank_by_region(&fleet, &member_in("zone-a"), &topology());
-    assert_eq!(candidates.len(), CANDIDATES);
+    assert_eq!(candidates.len(), CANDIDATES_PER_MEMBER);
 }
 
-/// Keepers of evidence stand near the members whose evidence they read; one that is lost is
-/// followed by another of the region.
+/// Evidence readers are chosen near the members whose evidence they read; one that is lost is
+/// replaced by another of the same region.
 #[tokio::test(start_paused = true)]
-async fn keepers_are_of_the_region_of_the_members() {
+async fn evidence_readers_are_in_the_region_of_the_members() {
     let fleet = fleet().await;
     let homes = fleet.nodes[0].engine.homes();
     until(|| homes.fleet_len() == ZONES.len()).await;
     for (region, zones) in [("north", &ZONES[..2]), ("south", &ZONES[2..])] {
         for block in 0..20 {
-            let keepers = homes.keepers_near(block, Some(&Arc::from(region)));
-            assert_eq!(keepers.len(), HOMES);
-            assert!(keepers.iter().all(|keeper| zones.contains(&&*keeper.zone)));
+            let readers = homes.evidence_readers_near(block, Some(&Arc::from(region)));
+            assert_eq!(readers.len(), HOMES_PER_MEMBER);
+            assert!(readers.iter().all(|reader| zones.contains(&&*reader.zone)));
         }
     }
-    let nowhere = homes.keepers_near(0, Some(&Arc::from("nowhere")));
-    assert_eq!(nowhere, homes.keepers(0));
+    let nowhere = homes.evidence_readers_near(0, Some(&Arc::from("nowhere")));
+    assert_eq!(nowhere, homes.evidence_readers(0));
 }
 
 /// The old leader `a` was in the north; `b` is there too, `c` is not.
--- a/crates/engine/tests/residency.rs
+++ b/crates/engine/tests/residency.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use stilequay_engine::configuration::{Configuration, Route};
 use stilequay_engine::directory::Directory;
-use stilequay_engine::home::placement::{CANDIDATES, HOMES, Peer};
+use stilequay_engine::home::placement::{CANDIDATES_PER_MEMBER, HOMES_PER_MEMBER, Peer};
 use stilequay_engine::names::{RegionName, ZoneName};
 use stilequay_engine::residency::Residency;
 use stilequay_engine::statement::{Reply, Statement, TransactionState};
@@ -344,7 +344,10 @@
     let (elsewhere, northern): (Vec<usize>, Vec<usize>) = candidates
         .iter()
         .partition(|place| southern.contains(place));
-    assert_eq!((northern.len(), elsewhere.len()), (CANDIDATES - 1, 1));
+    assert_eq!(
+        (northern.len(), elsewhere.len()),
+        (CANDIDATES_PER_MEMBER - 1, 1)
+    );
     for candidate in &northern {
         fleet.nodes[*candidate].abort();
         let engine = &fleet.nodes[*candidate].engine;
@@ -498,7 +501,7 @@
 async fn a_home_that_knows_newer_regions_refuses_as_not_run() {
     let fleet = fleet_of(LARGE, all_in(2, BOTH)).await;
     let node = southern_bystander(&fleet);
-    let homes = &candidates_of(&fleet, "c")[..HOMES];
+    let homes = &candidates_of(&fleet, "c")[..HOMES_PER_MEMBER];
     for home in homes {
         let engine = &fleet.nodes[*home].engine;
         assert!(engine.set_configuration(all_in(3, NORTH)));
@@ -536,7 +539,7 @@
         }
         if kills && round % 20 == 10 {
             let homes = candidates_of(fleet, server);
-            let home = homes[rng.random_range(0..HOMES)];
+            let home = homes[rng.random_range(0..HOMES_PER_MEMBER)];
             if !callers.contains(&home) {
                 fleet.kill(home);
             }
--- a/crates/engine/tests/slow_start.rs
+++ b/crates/engine/tests/slow_start.rs
@@ -12,7 +12,7 @@
 use stilequay_engine::configuration::{Configuration, SlowStart};
 use stilequay_engine::evacuation::Evacuations;
 use stilequay_engine::events::Event;
-use stilequay_engine::home::placement::HOMES;
+use stilequay_engine::home::placement::HOMES_PER_MEMBER;
 use stilequay_engine::names::NodeName;
 use stilequay_engine::slow_start::allotment::{Allotments, Shares};
 use stilequay_engine::statement::Reply;
@@ -111,7 +111,7 @@
     let directory = fleet.nodes[0].engine.directory();
     let member = directory.member(member).expect("a member");
     let candidates = fleet.nodes[0].engine.homes().candidates(member);
-    let homes = candidates.iter().take(HOMES);
+    let homes = candidates.iter().take(HOMES_PER_MEMBER);
     let place = |name: &NodeName| fleet.nodes.iter().position(|node| *node.name == **name);
     homes
         .map(|peer| place(&peer.node).expect("a process"))
