--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -294,7 +294,8 @@
                 changed = current.zones != zones;
                 // First: the zone's members are cold by the moment at which it is open again.
                 self.slow_starts.evacuated(current, &evacuations);
-                self.evacuation_schedule.take(&zones, Instant::now());
+                self.evacuation_schedule
+                    .set_evacuated(&zones, Instant::now());
                 *current = Arc::new(evacuations);
             }
             later
--- a/crates/engine/src/evacuation/keeper.rs
+++ b/crates/engine/src/evacuation/connection_closer.rs
@@ -10,7 +10,7 @@
 
 /// Closes resting connections to the members of evacuated zones once nothing more is sent
 /// there, until the process ends.
-pub(crate) async fn keep(engine: &Engine) {
+pub(crate) async fn close_evacuated_zones(engine: &Engine) {
     let mut evacuations = engine.subscribe_evacuations();
     let mut known: BTreeMap<ZoneName, Instant> = BTreeMap::new();
     let mut closed: BTreeSet<ZoneName> = BTreeSet::new();
@@ -22,16 +22,16 @@
         for zone in &current.zones {
             if !known.contains_key(zone) {
                 known.insert(zone.clone(), now);
-                warn_if_unknown(engine, zone);
+                warn_about_unknown_zone(engine, zone);
             }
         }
-        let closings = known.keys().filter(|zone| !closed.contains(*zone));
-        let closings = closings.filter_map(|zone| {
+        let deadlines = known.keys().filter(|zone| !closed.contains(*zone));
+        let deadlines = deadlines.filter_map(|zone| {
             let at = engine.evacuation_schedule().closes_at(zone, Sender::Home)?;
             Some((at, zone.clone()))
         });
-        let next = closings.min();
-        let reached = async {
+        let next = deadlines.min();
+        let deadline_reached = async {
             match &next {
                 Some((at, _)) => sleep_until(*at).await,
                 None => pending().await,
@@ -39,9 +39,9 @@
         };
         tokio::select! {
             changed = evacuations.changed() => if changed.is_err() { return },
-            () = reached => {
+            () = deadline_reached => {
                 if let Some((_, zone)) = next {
-                    close(engine, &zone, known.get(&zone).copied());
+                    close_connections(engine, &zone, known.get(&zone).copied());
                     closed.insert(zone);
                 }
             }
@@ -49,7 +49,7 @@
     }
 }
 
-fn close(engine: &Engine, zone: &ZoneName, learned: Option<Instant>) {
+fn close_connections(engine: &Engine, zone: &ZoneName, learned: Option<Instant>) {
     engine.close_resting_in(zone);
     engine.events().write(&Event::ZoneClosed {
         zone: zone.clone(),
@@ -59,7 +59,7 @@
 }
 
 /// A request for a zone where no member and no process stands is most likely a mistake.
-fn warn_if_unknown(engine: &Engine, zone: &ZoneName) {
+fn warn_about_unknown_zone(engine: &Engine, zone: &ZoneName) {
     let has_members = engine.directory().members().any(|m| m.zone == *zone);
     let is_known = has_members || engine.settings().topology.region_of(zone).is_some();
     if !is_known {
--- a/crates/engine/src/evacuation/gate.rs
+++ b/crates/engine/src/evacuation/gate.rs
@@ -8,11 +8,11 @@
 /// Whether one member may be sent anything.
 #[derive(Debug, Clone, Default)]
 pub struct Gate {
-    place: Option<Place>,
+    gated: Option<GatedZone>,
 }
 
 #[derive(Debug, Clone)]
-struct Place {
+struct GatedZone {
     schedule: Arc<Schedule>,
     zone: ZoneName,
     sender: Sender,
@@ -21,12 +21,12 @@
 impl Gate {
     /// The gate before the members of `zone`.
     pub fn new(schedule: Arc<Schedule>, zone: ZoneName, sender: Sender) -> Self {
-        let place = Place {
+        let gated = GatedZone {
             schedule,
             zone,
             sender,
         };
-        Self { place: Some(place) }
+        Self { gated: Some(gated) }
     }
 
     /// Whether anything may be sent at `now`.
@@ -35,10 +35,10 @@
     ///
     /// Why it may not; that is counted.
     pub fn check(&self, now: Instant) -> Result<(), MayNotSend> {
-        let Some(place) = &self.place else {
+        let Some(gated) = &self.gated else {
             return Ok(());
         };
-        let checked = place.schedule.check(&place.zone, place.sender, now);
+        let checked = gated.schedule.check(&gated.zone, gated.sender, now);
         if let Err(error) = &checked {
             let reason = match error {
                 MayNotSend::Evacuated => "evacuated",
@@ -51,16 +51,16 @@
 
     /// Whether connections are of no use any more at `now`: the zone is evacuated.
     pub fn is_closed(&self, now: Instant) -> bool {
-        self.place.as_ref().is_some_and(|place| {
-            let checked = place.schedule.check(&place.zone, place.sender, now);
+        self.gated.as_ref().is_some_and(|gated| {
+            let checked = gated.schedule.check(&gated.zone, gated.sender, now);
             checked == Err(MayNotSend::Evacuated)
         })
     }
 
     /// Counts a command that is sent to a zone while that is being evacuated.
     pub fn count_sent(&self) {
-        let Some(place) = &self.place else { return };
-        if place.schedule.is_evacuated(&place.zone) {
+        let Some(gated) = &self.gated else { return };
+        if gated.schedule.is_evacuated(&gated.zone) {
             metrics::counter!("stilequay_evacuation_sent_total").increment(1);
         }
     }
--- a/crates/engine/src/evacuation/mod.rs
+++ b/crates/engine/src/evacuation/mod.rs
@@ -3,13 +3,13 @@
 //! Each process keeps a [`Schedule`] of when it sends nothing more to which zone, and checks it
 //! at a [`Gate`] directly before each command.
 
+mod connection_closer;
 mod gate;
-mod keeper;
 mod schedule;
 
+pub(crate) use connection_closer::close_evacuated_zones;
 pub use gate::Gate;
-pub(crate) use keeper::keep;
-pub use schedule::{MayNotSend, Schedule, Sender, share_elsewhere};
+pub use schedule::{MayNotSend, Schedule, Sender, ramp_share};
 
 use crate::names::ZoneName;
 use serde::{Deserialize, Serialize};
--- a/crates/engine/src/evacuation/schedule.rs
+++ b/crates/engine/src/evacuation/schedule.rs
@@ -14,7 +14,7 @@
 
 /// Share of the bound after which all reads go elsewhere: a tenth of the bound before nothing
 /// is sent any more, so that hardly any statement meets the end.
-const MOVED_SHARE: f64 = 0.5;
+const READS_DIVERTED_SHARE: f64 = 0.5;
 /// Share of the bound after which callers' statements are not sent any more. Processes learn
 /// of a request up to a tenth of the bound apart, and statements need time on their way.
 const SESSION_SHARE: f64 = 0.6;
@@ -22,7 +22,7 @@
 const HOME_SHARE: f64 = 0.7;
 /// Greatest age of the proof of what is evacuated, as a share of the bound: statements need
 /// time on their way.
-const PROOF_SHARE: f64 = 0.9;
+const PROOF_AGE_SHARE: f64 = 0.9;
 
 quick_error! {
     /// Nothing may be sent to a member now.
@@ -59,25 +59,25 @@
 
 /// What is known of one request.
 #[derive(Debug, Clone, Copy)]
-struct Notice {
+struct EvacuationNotice {
     /// When this process learned of it.
-    learned: Instant,
+    learned_at: Instant,
     /// As of when it was not there yet; `None` where that is not known.
-    absent: Option<Instant>,
+    absent_at: Option<Instant>,
 }
 
-impl Notice {
+impl EvacuationNotice {
     /// The moment after `share` of `bound`; none of it is left where nothing is proven.
-    fn after(&self, bound: Duration, share: f64) -> Instant {
-        let moment = self.absent.map(|at| at + bound.mul_f64(share));
-        moment.map_or(self.learned, |at| at.max(self.learned))
+    fn deadline(&self, bound: Duration, share: f64) -> Instant {
+        let moment = self.absent_at.map(|at| at + bound.mul_f64(share));
+        moment.map_or(self.learned_at, |at| at.max(self.learned_at))
     }
 }
 
 #[derive(Debug, Default)]
 struct State {
-    evacuated: BTreeMap<ZoneName, Notice>,
-    returned: BTreeMap<ZoneName, Instant>,
+    evacuated: BTreeMap<ZoneName, EvacuationNotice>,
+    restored: BTreeMap<ZoneName, Instant>,
 }
 
 /// When this process sends nothing more to which zone.
@@ -103,23 +103,23 @@
 
     /// Takes the set of evacuated zones that was learned at `now`. To be called before any
     /// proof of it is told.
-    pub fn take(&self, zones: &BTreeSet<ZoneName>, now: Instant) {
-        let absent = *self.proof.borrow();
-        let notice = Notice {
-            learned: now,
-            absent,
+    pub fn set_evacuated(&self, zones: &BTreeSet<ZoneName>, now: Instant) {
+        let absent_at = *self.proof.borrow();
+        let notice = EvacuationNotice {
+            learned_at: now,
+            absent_at,
         };
         let mut state = self.state.write().unwrap_or_else(PoisonError::into_inner);
         let state = &mut *state;
         for zone in zones {
             state.evacuated.entry(zone.clone()).or_insert(notice);
-            state.returned.remove(zone);
+            state.restored.remove(zone);
         }
-        let returned = &mut state.returned;
+        let restored = &mut state.restored;
         state.evacuated.retain(|zone, _| {
             let stays = zones.contains(zone);
             if !stays {
-                returned.insert(zone.clone(), now);
+                restored.insert(zone.clone(), now);
             }
             stays
         });
@@ -136,24 +136,28 @@
         };
         // Before the zones: what is evacuated is then no older than this tells.
         let proof = *self.proof.borrow();
-        let is_closed = |notice: &Notice| now >= notice.after(bound, sender.share());
+        let is_closed = |notice: &EvacuationNotice| now >= notice.deadline(bound, sender.share());
         if self.read().evacuated.get(zone).is_some_and(is_closed) {
             return Err(MayNotSend::Evacuated);
         }
-        match proof.is_some_and(|at| now < at + bound.mul_f64(PROOF_SHARE)) {
+        match proof.is_some_and(|at| now < at + bound.mul_f64(PROOF_AGE_SHARE)) {
             true => Ok(()),
             false => Err(MayNotSend::Unproven),
         }
     }
 
     /// Share of the reads that are to avoid the members of `zone` at `now`, 0 to 1.
-    pub fn share_avoiding(&self, zone: &str, now: Instant) -> f64 {
+    pub fn diverted_share(&self, zone: &str, now: Instant) -> f64 {
         let Some(bound) = self.bound else {
             return 0.0;
         };
         let notice = self.read().evacuated.get(zone).copied();
         notice.map_or(0.0, |notice| {
-            share_elsewhere(notice.learned, notice.after(bound, MOVED_SHARE), now)
+            ramp_share(
+                notice.learned_at,
+                notice.deadline(bound, READS_DIVERTED_SHARE),
+                now,
+            )
         })
     }
 
@@ -167,13 +171,13 @@
     pub fn closes_at(&self, zone: &str, sender: Sender) -> Option<Instant> {
         let bound = self.bound?;
         let notice = self.read().evacuated.get(zone).copied()?;
-        Some(notice.after(bound, sender.share()))
+        Some(notice.deadline(bound, sender.share()))
     }
 
     /// Since when `zone` is back; `None` where it was never evacuated, or is now. Its members
     /// may be cold.
-    pub fn returned_at(&self, zone: &str) -> Option<Instant> {
-        self.read().returned.get(zone).copied()
+    pub fn restored_at(&self, zone: &str) -> Option<Instant> {
+        self.read().restored.get(zone).copied()
     }
 
     fn read(&self) -> RwLockReadGuard<'_, State> {
@@ -196,7 +200,7 @@
 /// assert_eq!(share_elsewhere(began, until, until), 1.0);
 /// assert_eq!(share_elsewhere(began, began, began), 1.0);
 /// ```
-pub fn share_elsewhere(began: Instant, until: Instant, now: Instant) -> f64 {
+pub fn ramp_share(began: Instant, until: Instant, now: Instant) -> f64 {
     let whole = until.saturating_duration_since(began);
     if whole.is_zero() {
         return 1.0;
--- a/crates/engine/src/leadership/mod.rs
+++ b/crates/engine/src/leadership/mod.rs
@@ -61,7 +61,7 @@
         follow_directory(&engine),
         end_lapses(&engine),
         rate::run(&engine),
-        evacuation::keep(&engine),
+        evacuation::close_evacuated_zones(&engine),
         slow_start::allot::run(&engine),
     );
 }
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -149,7 +149,7 @@
 fn is_avoided(engine: &Engine, member: &Member, now: Instant) -> bool {
     let share = engine
         .evacuation_schedule()
-        .share_avoiding(&member.zone, now);
+        .diverted_share(&member.zone, now);
     share > 0.0 && rand::random::<f64>() < share
 }
 
--- a/crates/engine/tests/evacuation.rs
+++ b/crates/engine/tests/evacuation.rs
@@ -340,7 +340,7 @@
     evacuate(&fleet, &[]);
     let engine = &fleet.nodes[1].engine;
     until(|| engine.evacuations().zones.is_empty()).await;
-    assert!(engine.evacuation_schedule().returned_at("zone-b").is_some());
+    assert!(engine.evacuation_schedule().restored_at("zone-b").is_some());
     sleep(BOUND).await;
     let mut client = fleet.session(1, BOUNDED_DATABASE);
     for _ in 0..10 {
--- a/crates/engine/tests/evacuation_schedule.rs
+++ b/crates/engine/tests/evacuation_schedule.rs
@@ -37,7 +37,7 @@
     proof.send_replace(Some(Instant::now()));
     advance(Duration::from_millis(unproven_ms)).await;
     let learned = Instant::now();
-    schedule.take(&zones(&["zone-a"]), learned);
+    schedule.set_evacuated(&zones(&["zone-a"]), learned);
     proof.send_replace(Some(learned));
     let at = |ms: u64| learned + Duration::from_millis(ms);
     let check = |ms| schedule.check("zone-a", Sender::Session, at(ms));
@@ -59,10 +59,10 @@
     let now = Instant::now();
     let check = |zone, at| schedule.check(zone, Sender::Home, at);
     assert_eq!(check("zone-b", now), Err(MayNotSend::Unproven));
-    schedule.take(&zones(&["zone-a"]), now);
+    schedule.set_evacuated(&zones(&["zone-a"]), now);
     proof.send_replace(Some(now));
     assert_eq!(check("zone-a", now), Err(MayNotSend::Evacuated));
-    assert_eq!(schedule.share_avoiding("zone-a", now), 1.0);
+    assert_eq!(schedule.diverted_share("zone-a", now), 1.0);
     assert_eq!(check("zone-b", now + BOUND.mul_f64(0.89)), Ok(()));
     let late = now + BOUND.mul_f64(0.91);
     assert_eq!(check("zone-b", late), Err(MayNotSend::Unproven));
@@ -72,16 +72,16 @@
 async fn a_zone_that_is_back_is_told_since_when() {
     let (schedule, proof) = schedule();
     proof.send_replace(Some(Instant::now()));
-    schedule.take(&zones(&["zone-a", "zone-b"]), Instant::now());
+    schedule.set_evacuated(&zones(&["zone-a", "zone-b"]), Instant::now());
     advance(Duration::from_secs(1)).await;
     let back = Instant::now();
-    schedule.take(&zones(&["zone-b"]), back);
-    assert_eq!(schedule.returned_at("zone-a"), Some(back));
-    assert_eq!(schedule.returned_at("zone-b"), None);
+    schedule.set_evacuated(&zones(&["zone-b"]), back);
+    assert_eq!(schedule.restored_at("zone-a"), Some(back));
+    assert_eq!(schedule.restored_at("zone-b"), None);
     assert!(!schedule.is_evacuated("zone-a"));
     assert_eq!(schedule.check("zone-a", Sender::Session, back), Ok(()));
-    schedule.take(&zones(&["zone-a", "zone-b"]), back);
-    assert_eq!(schedule.returned_at("zone-a"), None);
+    schedule.set_evacuated(&zones(&["zone-a", "zone-b"]), back);
+    assert_eq!(schedule.restored_at("zone-a"), None);
 }
 
 /// As many leaders move side by side as have to, so that the last change begins in time.
