--- a/crates/engine/src/evacuation/connection_closer.rs
+++ b/crates/engine/src/evacuation/connection_closer.rs
@@ -1,4 +1,4 @@
-//! Closes what rests in evacuated zones, and tells of it.
+//! Closes idle connections to evacuated zones and writes an event for each zone.
 
 use super::schedule::Sender;
 use crate::engine::Engine;
@@ -8,8 +8,8 @@
 use std::future::pending;
 use tokio::time::{Instant, sleep_until};
 
-/// Closes resting connections to the members of evacuated zones once nothing more is sent
-/// there, until the process ends.
+/// Closes idle connections to the members of each evacuated zone once its deadline for sending has
+/// passed. Runs until the process ends.
 pub(crate) async fn close_evacuated_zones(engine: &Engine) {
     let mut evacuations = engine.subscribe_evacuations();
     let mut known: BTreeMap<ZoneName, Instant> = BTreeMap::new();
@@ -58,11 +58,12 @@
     });
 }
 
-/// A request for a zone where no member and no process stands is most likely a mistake.
+/// Warns if `zone` contains no member and is unknown to the settings, since the request is most
+/// likely a mistake.
 fn warn_about_unknown_zone(engine: &Engine, zone: &ZoneName) {
     let has_members = engine.directory().members().any(|m| m.zone == *zone);
     let is_known = has_members || engine.settings().topology.region_of(zone).is_some();
     if !is_known {
-        log::warn!("evacuation of {zone}: no member stands there, and no settings name it");
+        log::warn!("evacuation of unknown zone {zone}: it has no members and is not configured");
     }
 }
--- a/crates/engine/src/evacuation/gate.rs
+++ b/crates/engine/src/evacuation/gate.rs
@@ -1,11 +1,11 @@
-//! The check before each command to a member.
+//! Checks before each command whether its member's zone is evacuated.
 
 use super::schedule::{MayNotSend, Schedule, Sender};
 use crate::names::ZoneName;
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Whether one member may be sent anything.
+/// Decides whether commands may be sent to one member. The default gate is always open.
 #[derive(Debug, Clone, Default)]
 pub struct Gate {
     gated: Option<GatedZone>,
@@ -19,7 +19,7 @@
 }
 
 impl Gate {
-    /// The gate before the members of `zone`.
+    /// Creates the gate for members of `zone` and commands from `sender`.
     pub fn new(schedule: Arc<Schedule>, zone: ZoneName, sender: Sender) -> Self {
         let gated = GatedZone {
             schedule,
@@ -29,11 +29,11 @@
         Self { gated: Some(gated) }
     }
 
-    /// Whether anything may be sent at `now`.
+    /// Checks whether commands may be sent at `now`.
     ///
     /// # Errors
     ///
-    /// Why it may not; that is counted.
+    /// Returns the reason if they may not, and increments the metric for it.
     pub fn check(&self, now: Instant) -> Result<(), MayNotSend> {
         let Some(gated) = &self.gated else {
             return Ok(());
@@ -49,7 +49,7 @@
         checked
     }
 
-    /// Whether connections are of no use any more at `now`: the zone is evacuated.
+    /// Whether the zone is evacuated at `now`, so that connections to the member are useless.
     pub fn is_closed(&self, now: Instant) -> bool {
         self.gated.as_ref().is_some_and(|gated| {
             let checked = gated.schedule.check(&gated.zone, gated.sender, now);
@@ -57,7 +57,7 @@
         })
     }
 
-    /// Counts a command that is sent to a zone while that is being evacuated.
+    /// Increments the metric of commands sent to a zone that is being evacuated.
     pub fn count_sent(&self) {
         let Some(gated) = &self.gated else { return };
         if gated.schedule.is_evacuated(&gated.zone) {
--- a/crates/engine/src/evacuation/mod.rs
+++ b/crates/engine/src/evacuation/mod.rs
@@ -1,7 +1,7 @@
-//! Zones whose servers are to get no more work, as operators have requested.
+//! Evacuation of zones: on an operator's request, the zone's servers receive no more work.
 //!
-//! Each process keeps a [`Schedule`] of when it sends nothing more to which zone, and checks it
-//! at a [`Gate`] directly before each command.
+//! Each process maintains a [`Schedule`] with the time from which it sends nothing more to each
+//! evacuated zone, and checks it at a [`Gate`] directly before each command.
 
 mod connection_closer;
 mod gate;
@@ -15,18 +15,18 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The zones that are evacuated, as of one version.
+/// Set of evacuated zones as of one store version.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Evacuations {
-    /// The store's version as of which these were learned; zero where nothing is known.
-    /// Processes that know the same zones may differ in it.
+    /// Store version as of which the zones were learned; zero if nothing is known. Processes that
+    /// know the same zones may have different versions.
     pub version: u64,
-    /// The zones.
+    /// Names of the evacuated zones.
     pub zones: BTreeSet<ZoneName>,
 }
 
 impl Evacuations {
-    /// Whether nothing more may be sent to the servers of `zone`.
+    /// Whether `zone` is evacuated.
     pub fn contains(&self, zone: &str) -> bool {
         self.zones.contains(zone)
     }
--- a/crates/engine/src/evacuation/schedule.rs
+++ b/crates/engine/src/evacuation/schedule.rs
@@ -1,8 +1,8 @@
-//! By when this process sends nothing more to the servers of evacuated zones.
+//! Deadlines from which this process sends nothing more to the servers of evacuated zones.
 //!
-//! The bound runs from the store's acknowledgement of a request, which no process sees. All
-//! moments count from the last proof that the request was not there yet: it can't have been
-//! acknowledged before.
+//! The evacuation bound starts when the store acknowledges a request, which no process observes.
+//! All deadlines are therefore computed from the last proof that the request did not exist yet,
+//! since it can't have been acknowledged before that.
 
 use crate::names::ZoneName;
 use quick_error::quick_error;
@@ -12,39 +12,41 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Share of the bound after which all reads go elsewhere: a tenth of the bound before nothing
-/// is sent any more, so that hardly any statement meets the end.
+/// Share of the bound after which all reads are diverted to other zones. It is a tenth of the bound
+/// before sending stops, so that hardly any statement is refused at the deadline.
 const READS_DIVERTED_SHARE: f64 = 0.5;
-/// Share of the bound after which callers' statements are not sent any more. Processes learn
-/// of a request up to a tenth of the bound apart, and statements need time on their way.
+/// Share of the bound after which callers' statements are no longer sent. The remainder allows for
+/// processes that learn of a request up to a tenth of the bound apart, and for transit time.
 const SESSION_SHARE: f64 = 0.6;
-/// The same for statements that another process has forwarded: it may have learned later.
+/// The same for statements forwarded by another process, which may have learned of the request
+/// later.
 const HOME_SHARE: f64 = 0.7;
-/// Greatest age of the proof of what is evacuated, as a share of the bound: statements need
-/// time on their way.
+/// Maximum age of the proof that the known evacuations are complete, as a share of the bound. The
+/// remainder allows for the transit time of statements.
 const PROOF_AGE_SHARE: f64 = 0.9;
 
 quick_error! {
-    /// Nothing may be sent to a member now.
+    /// Why commands may not be sent to a member.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum MayNotSend {
-        /// Its zone is evacuated.
+        /// The member's zone is evacuated.
         Evacuated {
             display("its zone is evacuated")
         }
-        /// Its zone may be evacuated: this process has not heard of the store for too long.
+        /// The member's zone may be evacuated: this process has received no recent state of the
+        /// store.
         Unproven {
             display("its zone may be evacuated by now")
         }
     }
 }
 
-/// Who sends to a member.
+/// Origin of the commands sent to a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sender {
-    /// A session of this process where it chooses a member, and its connections by way of homes.
+    /// A session of this process that chooses a member, and its connections through homes.
     Session,
-    /// Whoever holds a connection to the member itself, for this process's sessions or another's.
+    /// The holder of a connection to the member itself, for sessions of this or another process.
     Home,
 }
 
@@ -57,17 +59,18 @@
     }
 }
 
-/// What is known of one request.
+/// What this process knows about one evacuation request.
 #[derive(Debug, Clone, Copy)]
 struct EvacuationNotice {
     /// When this process learned of it.
     learned_at: Instant,
-    /// As of when it was not there yet; `None` where that is not known.
+    /// Last time at which the request is known not to have existed; `None` if unknown.
     absent_at: Option<Instant>,
 }
 
 impl EvacuationNotice {
-    /// The moment after `share` of `bound`; none of it is left where nothing is proven.
+    /// Returns the time after `share` of `bound`. Without any proof, returns the time at which the
+    /// request was learned, as if the bound had already elapsed.
     fn deadline(&self, bound: Duration, share: f64) -> Instant {
         let moment = self.absent_at.map(|at| at + bound.mul_f64(share));
         moment.map_or(self.learned_at, |at| at.max(self.learned_at))
@@ -80,19 +83,19 @@
     restored: BTreeMap<ZoneName, Instant>,
 }
 
-/// When this process sends nothing more to which zone.
+/// Evacuated zones and the deadlines from which this process sends nothing more to them.
 #[derive(Debug)]
 pub struct Schedule {
-    /// `None` where zones are not evacuated.
+    /// `None` if evacuation is disabled.
     bound: Option<Duration>,
-    /// As of when the evacuations in use are known to have been the newest.
+    /// Last time at which the known evacuations are proven to have been current.
     proof: watch::Receiver<Option<Instant>>,
     state: RwLock<State>,
 }
 
 impl Schedule {
-    /// A schedule of nothing. `bound` is the time within which requests must be acted on,
-    /// `proof` tells as of when they were complete.
+    /// Creates a schedule without evacuated zones. `bound` is the time within which requests must
+    /// be applied; `proof` holds the last time at which the known requests were complete.
     pub fn new(bound: Option<Duration>, proof: watch::Receiver<Option<Instant>>) -> Self {
         Self {
             bound,
@@ -101,8 +104,8 @@
         }
     }
 
-    /// Takes the set of evacuated zones that was learned at `now`. To be called before any
-    /// proof of it is told.
+    /// Replaces the set of evacuated zones by the one learned at `now`. Must be called before
+    /// `proof` is updated to cover it.
     pub fn set_evacuated(&self, zones: &BTreeSet<ZoneName>, now: Instant) {
         let absent_at = *self.proof.borrow();
         let notice = EvacuationNotice {
@@ -125,16 +128,16 @@
         });
     }
 
-    /// Whether anything may be sent to the members of `zone` at `now`.
+    /// Checks whether `sender` may send commands to the members of `zone` at `now`.
     ///
     /// # Errors
     ///
-    /// Why it may not.
+    /// Returns the reason if it may not.
     pub fn check(&self, zone: &str, sender: Sender, now: Instant) -> Result<(), MayNotSend> {
         let Some(bound) = self.bound else {
             return Ok(());
         };
-        // Before the zones: what is evacuated is then no older than this tells.
+        // Read before the zones, so that the set of zones is at least as recent as the proof.
         let proof = *self.proof.borrow();
         let is_closed = |notice: &EvacuationNotice| now >= notice.deadline(bound, sender.share());
         if self.read().evacuated.get(zone).is_some_and(is_closed) {
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Share of the reads that are to avoid the members of `zone` at `now`, 0 to 1.
+    /// Share of reads, from 0 to 1, that must be diverted from the members of `zone` at `now`.
     pub fn diverted_share(&self, zone: &str, now: Instant) -> f64 {
         let Some(bound) = self.bound else {
             return 0.0;
@@ -161,21 +164,21 @@
         })
     }
 
-    /// Whether `zone` is evacuated, or is going to be within the bound.
+    /// Whether `zone` is evacuated or will be within the bound.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         self.bound.is_some() && self.read().evacuated.contains_key(zone)
     }
 
-    /// When `sender` sends nothing more to the members of `zone`; `None` where it is not
-    /// evacuated.
+    /// Time from which `sender` sends nothing more to the members of `zone`; `None` if the zone is
+    /// not evacuated.
     pub fn closes_at(&self, zone: &str, sender: Sender) -> Option<Instant> {
         let bound = self.bound?;
         let notice = self.read().evacuated.get(zone).copied()?;
         Some(notice.deadline(bound, sender.share()))
     }
 
-    /// Since when `zone` is back; `None` where it was never evacuated, or is now. Its members
-    /// may be cold.
+    /// Time at which the evacuation of `zone` ended; `None` if the zone was never evacuated or is
+    /// evacuated now. Members of a restored zone may have cold caches.
     pub fn restored_at(&self, zone: &str) -> Option<Instant> {
         self.read().restored.get(zone).copied()
     }
@@ -185,9 +188,8 @@
     }
 }
 
-/// Share of the traffic that is to be elsewhere at `now`, where none is to move before `began`
-/// and all of it is to have moved by `until`: it rises evenly, so that the members elsewhere
-/// have time to take it up.
+/// Share of the traffic that must be diverted at `now`. It rises linearly from none at `began` to
+/// all at `until`, so that the members in other zones can warm up to the additional load.
 ///
 /// ```
 /// use std::time::Duration;
--- a/crates/engine/src/home/mod.rs
+++ b/crates/engine/src/home/mod.rs
@@ -1,25 +1,25 @@
-//! Homes: the processes that hold the connections to a member for the whole fleet.
+//! Homes: the processes that hold the connections to a member on behalf of the whole fleet.
 //!
-//! A member accepts a bounded number of connections. While that is enough for every process
-//! of the fleet to hold a few, each connects by itself. In a larger fleet a few processes
-//! near the member hold them, its homes; the others forward their statements there over one
-//! link to each home. So a member's whole load passes a few places, which know it and put it
-//! in order, and what a process costs its members does not grow with the fleet.
+//! A member accepts a limited number of connections. As long as that is enough for every process
+//! of the fleet to hold a few, each process connects directly. In a larger fleet, a few processes
+//! near the member, its homes, hold the connections, and the others forward their statements over
+//! one link to each home. The whole load of a member thus passes through a few processes, which
+//! know it and schedule it, and the number of connections to a member does not grow with the fleet.
 //!
-//! What a home decides is only whose turn it is. Where a statement goes, how fresh its
-//! member must be and what its caller is told stay with the process that took it, on
-//! evidence of its own clock:
+//! A home decides only the order in which statements run. The process that accepted a statement
+//! decides where it runs, how fresh its member must be and what its caller is told, based on
+//! evidence dated by its own clock:
 //!
-//! | what happens to a forwarded statement | what its process takes it for |
+//! | outcome of a forwarded statement | how the forwarding process treats it |
 //! | --- | --- |
-//! | no home was reached, or its link's queue is full | not run |
-//! | the home had no connection in time, or could not reach the member | not run |
-//! | the link ended, or nothing was heard, after it was sent | may have run |
-//! | the member's connection failed after it was sent there | may have run |
-//! | a home ends while a transaction is open there | the transaction is lost |
+//! | no home is reachable, or the queue of its link is full | not run |
+//! | the home had no free connection in time, or could not reach the member | not run |
+//! | the link closed, or no reply arrived, after the statement was sent | may have run |
+//! | the member's connection failed after the statement was sent to it | may have run |
+//! | a home stops while a transaction is open there | the transaction is lost |
 //!
-//! Two processes that disagree on who is home each have their statements run by another
-//! one: the member sees more connections, and no promise depends on it.
+//! Two processes that disagree on a member's homes forward their statements to different
+//! processes. The member then sees more connections, but no guarantee depends on it.
 
 pub mod placement;
 mod remote;
@@ -39,23 +39,24 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// Longest wait for what a home knows of a group.
+/// Timeout for requesting what a home knows about a group.
 const ASK_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// Asks a home of the leader of `group` for evidence of its term, which the commits of the
-/// whole fleet bring it; returns whether one has answered. Homes themselves, and processes
-/// of a small fleet, ask nobody.
+/// Requests evidence of the term of `group` from a home of its leader, which collects evidence
+/// from the commits of the whole fleet. Returns whether a home has replied. Homes themselves, and
+/// processes of a small fleet, send no request.
 pub async fn ask_for_evidence(engine: &Engine, group: &Group) -> bool {
     ask(engine, group, Wanted::Evidence).await
 }
 
-/// As [`ask_for_evidence`], for a position that covers a recent moment.
+/// Like [`ask_for_evidence`], but requests a replication position as of a recent time.
 pub async fn ask_for_position(engine: &Engine, group: &Group) -> bool {
     ask(engine, group, Wanted::Position).await
 }
 
-/// Asks the keeper of the evidence of `group`, which reads the store for the whole fleet;
-/// returns whether that has brought any. The keeper itself asks nobody.
+/// Requests the evidence of `group` from its evidence reader, the process that reads it from the
+/// store for the whole fleet. Returns whether the group has a leased leader afterwards. The
+/// evidence reader itself sends no request.
 pub async fn ask_evidence_reader(engine: &Engine, group: &Group) -> bool {
     let directory = engine.directory();
     let Some(block) = placement::block_of(directory.group_names(), group.name()) else {
@@ -76,14 +77,14 @@
     let leader = group.leased_leader(Instant::now(), Duration::ZERO);
     match leader {
         Some(_) => link.trust(),
-        // It is cut off from the store, or from here: the other keeper is asked next.
+        // It can't reach the store, or can't be reached: use the other evidence reader next.
         None => link.distrust(),
     }
     leader.is_some()
 }
 
-/// The region in which most members of `groups` stand, the same everywhere; `None` where there
-/// is one region only.
+/// Returns the region with the most members of `groups`, the same in every process; `None` if
+/// there is only one region.
 fn most_common_region(engine: &Engine, groups: &[GroupName]) -> Option<RegionName> {
     let topology = &engine.settings().topology;
     if topology.is_single_region() {
@@ -109,7 +110,7 @@
         return false;
     };
     let asked = Instant::now();
-    // Questions hold nothing of a caller.
+    // The request contains no caller data, so residency rules don't restrict it.
     let anywhere = &Residency::ANYWHERE;
     let answered = timeout(ASK_TIMEOUT, async {
         let link = engine.homes().choose_link(&member, None, anywhere).await?;
--- a/crates/engine/src/home/placement.rs
+++ b/crates/engine/src/home/placement.rs
@@ -1,4 +1,5 @@
-//! Which processes are the homes of a member.
+//! Assignment of tasks to processes: the homes of each member, the rate-limit counters, the
+//! evidence readers and the processes that follow the store.
 
 use crate::directory::Member;
 use crate::link::{Link, Links};
@@ -16,52 +17,52 @@
 use tokio::sync::Semaphore;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Processes that hold the connections to one member while all of them live. Two, so that
-/// one is at hand when the other is lost.
+/// Number of homes per member while no process has failed. With two, one is available if the other
+/// fails.
 pub const HOMES_PER_MEMBER: usize = 2;
-/// Processes that may come to hold them: those that follow, for when homes are lost.
+/// Number of processes per member that are homes or may replace failed ones.
 pub const CANDIDATES_PER_MEMBER: usize = 4;
-/// Least number of connections of one process that connects by itself: one can rest inside
-/// a transaction.
+/// Minimum number of connections of a process that connects directly, because one may be occupied
+/// by an idle transaction.
 pub const MIN_PROCESS_CONNECTIONS: usize = 2;
 
-/// Processes that may come to count one shard of the rate limits. With six, a third of the
-/// fleet that is lost holds all of them once in seven hundred times.
+/// Number of processes that may count one shard of the rate limits. With six, the loss of a third
+/// of the fleet affects all of them in one of seven hundred cases.
 const CANDIDATES_PER_SHARD: usize = 6;
-/// How many of them stand in other zones.
+/// Number of these candidates that are in other zones than the shard's.
 const REMOTE_CANDIDATES_PER_SHARD: usize = 2;
 
-/// Processes that connect to a member by themselves for each statement that it runs at a
-/// time, at the most. More would fill its queue with what none of them knows of the others,
-/// and each new connection takes a place there too.
+/// Maximum number of processes that connect directly to a member, per statement that it runs
+/// concurrently. More would fill the member's queue without knowing of one another's load, and each
+/// new connection occupies a place in that queue too.
 const MAX_PROCESSES_PER_SLOT: usize = 6;
-/// Connections that one home uses for each statement that the member runs at a time, at the
-/// most: some rest inside transactions.
+/// Maximum number of connections of one home, per statement that the member runs concurrently. It
+/// is above one because some connections are occupied by idle transactions.
 const MAX_HOME_CONNECTIONS_PER_SLOT: usize = 10;
-/// Connections of a member that are left to orders and to processes not counted yet.
+/// Connections of a member reserved for control commands and for processes that are not known yet.
 pub const RESERVED_CONNECTIONS: usize = 6;
-/// Processes of each zone from which the others learn what the store holds, in a large fleet.
+/// Number of processes per zone from which the others receive the store's state in a large fleet.
 const FOLLOWERS_PER_ZONE: usize = 2;
-/// Processes of the whole fleet that follow the store itself, in a large fleet.
+/// Number of processes in a large fleet that read the store directly.
 const STORE_FOLLOWERS: usize = 2;
-/// What they are ranked for.
+/// Task name by which these processes are ranked.
 const STORE_FOLLOWER_TASK: &[u8] = b"root";
-/// Share of the cores of a zone's strongest machine from which on another one counts as strong.
+/// Minimum weight of a strong process, as a share of the greatest weight in its zone.
 const STRONG_WEIGHT_SHARE: f64 = 0.5;
-/// Least weight of a process: one that tells less, or nothing that makes sense, has this.
+/// Minimum weight of a process, used if it reports a lower or invalid weight.
 const MIN_WEIGHT: f64 = 0.01;
 
-/// What a member offers all processes together.
+/// Capacity of a member for all processes together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Capacity {
-    /// Connections that it accepts.
+    /// Maximum number of connections.
     pub connections: usize,
-    /// Statements that it runs at a time; `None` where it has not told.
+    /// Number of statements that the member runs concurrently; `None` if unknown.
     pub slots: Option<usize>,
 }
 
 impl Capacity {
-    /// Whether each of `processes` can hold connections of its own.
+    /// Whether each of `processes` may connect directly.
     ///
     /// ```
     /// use stilequay_engine::home::placement::Capacity;
@@ -75,7 +76,7 @@
         connections && slots.is_none_or(|most| processes <= most)
     }
 
-    /// Connections that one home may use.
+    /// Maximum number of connections of one home.
     pub fn connections_per_home(self) -> usize {
         let share = self.connections.saturating_sub(RESERVED_CONNECTIONS) / HOMES_PER_MEMBER;
         let most = self
@@ -87,20 +88,20 @@
     }
 }
 
-/// Groups whose evidence one process keeps: the store tells it of all of them in one call.
+/// Number of groups whose evidence one process reads with a single store call.
 const GROUPS_PER_BLOCK: usize = 64;
 
-/// Groups that stand beside one another by name.
+/// A block of groups that are adjacent when sorted by name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GroupBlock<'a> {
-    /// Its place among all blocks.
+    /// Index among all blocks.
     pub index: usize,
-    /// The groups, sorted.
+    /// Names of the groups, sorted.
     pub groups: &'a [GroupName],
 }
 
-/// The block that `group` belongs to, of all `groups`, which are sorted; `None` where it is
-/// not one of them.
+/// Returns the block that contains `group`. `groups` holds all groups in sorted order; `None` if
+/// `group` is not among them.
 pub fn block_of<'a>(groups: &'a [GroupName], group: &str) -> Option<GroupBlock<'a>> {
     let place = groups.binary_search_by(|name| (**name).cmp(group)).ok()?;
     let index = place / GROUPS_PER_BLOCK;
@@ -111,27 +112,27 @@
 /// A process of the fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the process.
     pub node: NodeName,
-    /// Where it answers other processes.
+    /// Address at which it accepts links from other processes.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone in which it runs.
     pub zone: ZoneName,
-    /// Its share of work for others: cores that it may use.
+    /// Weight for the assignment of tasks: the number of cores that it may use.
     pub weight: f64,
 }
 
-/// Where `peer` stands among the candidates for `task`; the lowest comes first. A process of
-/// twice the weight comes first twice as often, and one that joins or leaves changes the
-/// order of no others (weighted rendezvous hashing).
+/// Weighted rendezvous hashing: returns the score of `peer` for `task`; the lowest score ranks
+/// first. A process of twice the weight ranks first twice as often, and a process that joins or
+/// leaves does not change the order of the others.
 fn rendezvous_score(task: &[u8], peer: &Peer) -> f64 {
     let hash = xxh3_64(&[task, b"/", peer.node.as_bytes()].concat());
-    // The upper 53 bits fit a float's fraction; above zero and up to one.
+    // The upper 53 bits fit the fraction of a float. The result is in (0, 1].
     let uniform = ((hash >> 11) + 1) as f64 / (1_u64 << 53) as f64;
     -uniform.ln() / peer.weight.max(MIN_WEIGHT)
 }
 
-/// The first `count` of `peers` for `task`.
+/// Returns the `count` highest-ranked of `peers` for `task`.
 fn top_ranked<'a>(
     peers: impl Iterator<Item = &'a Peer>,
     task: &[u8],
@@ -144,8 +145,8 @@
     ranked.into_iter().take(count).map(|(_, peer)| peer)
 }
 
-/// The candidates for keeping the evidence of one block of groups among `fleet`; those that are
-/// `close` to the groups' members come first.
+/// Returns the candidates in `fleet` for reading the evidence of one block of groups. Processes for
+/// which `is_close` holds, near the groups' members, come first.
 fn rank_evidence_readers(
     fleet: &[Peer],
     block: usize,
@@ -158,8 +159,9 @@
     close.chain(far).take(HOMES_PER_MEMBER).cloned().collect()
 }
 
-/// The processes of `zone` among `fleet` that follow the store: strong ones, since each tells half
-/// of the zone whatever its cores are. Other work for the fleet can be dealt by cores.
+/// Returns the followers of the store in `zone` among `fleet`. Strong processes are preferred,
+/// since each follower updates half of the zone regardless of its cores; other tasks for the fleet
+/// are assigned in proportion to cores.
 fn rank_followers(fleet: &[Peer], zone: &str) -> Vec<Peer> {
     let inside = || fleet.iter().filter(|peer| &*peer.zone == zone);
     let greatest = inside().map(|peer| peer.weight).fold(0.0, f64::max);
@@ -174,23 +176,23 @@
         .collect()
 }
 
-/// The candidates for `member` among `fleet`, the homes first, where no regions are known.
+/// Returns the candidates for `member` among `fleet`, the homes first, if no regions are known.
 pub fn rank(fleet: &[Peer], member: &Member) -> Vec<Peer> {
     rank_near(fleet, &member.zone, member.id.as_bytes(), |_| true)
 }
 
-/// The candidates for `member` among `fleet`, the homes first. Those of its zone are followed
-/// by others of its region, so that a statement from this region does not cross the link to
-/// another one twice.
+/// Returns the candidates for `member` among `fleet`, the homes first. Processes in its zone are
+/// followed by others in its region, so that a statement from this region does not cross the link
+/// to another region twice.
 pub fn rank_by_region(fleet: &[Peer], member: &Member, topology: &Topology) -> Vec<Peer> {
     let region = topology.region_of(&member.zone);
     let is_close = |peer: &Peer| topology.region_of(&peer.zone) == region;
     rank_near(fleet, &member.zone, member.id.as_bytes(), is_close)
 }
 
-/// The candidates among `fleet` for a task that is best done in `zone`. Processes of that
-/// zone come first, but for the last candidate: a cut that takes the whole zone must leave
-/// one that does it from outside. Of the processes outside, those that are `close` come first.
+/// Returns the candidates in `fleet` for a task that is best done in `zone`. Processes of that zone
+/// come first, except that the last candidate is outside it, so that the task survives the loss of
+/// the whole zone. Of the processes outside, those for which `is_close` holds come first.
 fn rank_near(
     fleet: &[Peer],
     zone: &str,
@@ -214,10 +216,10 @@
     ranked.take(CANDIDATES_PER_MEMBER).cloned().collect()
 }
 
-/// The candidates for counting `shard` of the rate limits among `fleet`, which stands in
-/// `zones`: the shards are dealt to the zones in turn, and the processes of a zone to its
-/// shards, so that no process is a candidate for two of them while there are enough. The last
-/// candidates stand in other zones.
+/// Returns the candidates in `fleet` for counting `shard` of the rate limits. Shards are assigned
+/// round-robin to `zones`, the zones of the fleet, and the processes of each zone round-robin to
+/// its shards, so that no process is a candidate for two of them while there are enough. The last
+/// candidates are in other zones.
 fn rank_counters(fleet: &[Peer], zones: &[ZoneName], shard: Shard) -> Vec<Peer> {
     let count = zones.len().max(1);
     let Some(zone) = zones.get(shard % count) else {
@@ -235,8 +237,8 @@
     ranked.cloned().collect()
 }
 
-/// The order of `peers` for the task at `place` of `count`: first its own when they are dealt
-/// to the tasks in turn, then the others.
+/// Returns the order of `peers` for the task at index `place` of `count`: first those that a
+/// round-robin assignment gives to this task, then the others.
 fn round_robin_order(mut peers: Vec<&Peer>, place: usize, count: usize) -> Vec<&Peer> {
     let first = place % peers.len().max(1);
     peers.rotate_left(first);
@@ -249,7 +251,7 @@
 #[derive(Debug, Default)]
 struct Ranking {
     fleet: Vec<Peer>,
-    /// How many there are, known or not.
+    /// Number of processes in the fleet, including those not known by name yet.
     processes: usize,
     candidates: HashMap<MemberId, Arc<[Peer]>>,
     evidence_readers: HashMap<(usize, Option<RegionName>), Arc<[Peer]>>,
@@ -257,21 +259,21 @@
     duty_order: Option<Arc<[Peer]>>,
     zones: Option<Arc<[ZoneName]>>,
     counters: HashMap<Shard, Arc<[Peer]>>,
-    /// The process that granted permits of a shard last.
+    /// Address of the process that last answered for each shard.
     last_counters: HashMap<Shard, SocketAddr>,
 }
 
-/// Where a process learns what the store holds.
+/// Where a process receives the store's state from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreSource {
-    /// From the store itself.
+    /// The store itself.
     Store,
-    /// From one of the processes that answer here, the first of them if it does.
+    /// One of the processes at these addresses, in order of preference.
     Peers(Vec<SocketAddr>),
 }
 
 impl Ranking {
-    /// The zones of the fleet, in an order that is the same everywhere.
+    /// Returns the zones of the fleet, in the same order in every process.
     fn zones(&mut self) -> Arc<[ZoneName]> {
         if let Some(known) = &self.zones {
             return Arc::clone(known);
@@ -283,7 +285,7 @@
         zones
     }
 
-    /// The processes that learn what the store holds first in their zones, of all zones.
+    /// Returns the followers of all zones.
     fn all_followers(&mut self) -> Vec<Peer> {
         let zones = self.zones();
         let followers = zones
@@ -292,9 +294,9 @@
         followers.collect()
     }
 
-    /// All processes in the order in which they are to hold duties of the whole fleet:
-    /// followers first, since they hear of the store first. The first of them follow the
-    /// store itself.
+    /// Returns all processes in the order in which they take on fleet-wide duties. Followers come
+    /// first, since they receive the store's state first. The first of them read the store
+    /// directly.
     fn duty_order(&mut self) -> Arc<[Peer]> {
         if let Some(known) = &self.duty_order {
             return Arc::clone(known);
@@ -311,7 +313,7 @@
         order
     }
 
-    /// All followers in the order in which they follow the store itself; the second is of
+    /// Returns all followers in the order in which they read the store directly. The second is in
     /// another zone than the first, if there is one.
     fn ranked_followers(&mut self) -> Vec<Peer> {
         let followers = self.all_followers();
@@ -324,7 +326,7 @@
         ranked
     }
 
-    /// The processes that learn what the store holds first in `zone`.
+    /// Returns the followers in `zone`, which receive the store's state before its other processes.
     fn followers_of(&mut self, zone: &ZoneName) -> Arc<[Peer]> {
         if let Some(known) = self.followers.get(zone) {
             return Arc::clone(known);
@@ -335,26 +337,26 @@
     }
 }
 
-/// Half of all keys have the one of two first, half the other.
+/// Balances load over two addresses: reverses their order for half of all keys.
 fn order_by_key(key: &[u8], addresses: &mut [SocketAddr]) {
     if xxh3_64(key) % 2 == 1 {
         addresses.reverse();
     }
 }
 
-/// The homes of all members, and the links to them.
+/// Assignment of homes and other tasks to the processes of the fleet, and the links to them.
 #[derive(Debug)]
 pub struct Homes {
     own: NodeName,
     topology: Topology,
     ranking: Mutex<Ranking>,
-    /// What bounds this process's own connections to members whose homes it does not reach.
+    /// Limits this process's direct connections to members whose homes are unreachable.
     direct: Mutex<HashMap<MemberId, Arc<Semaphore>>>,
     links: Links,
 }
 
 impl Homes {
-    /// For the process called `own`; it knows of no other yet.
+    /// Creates the assignment for the process named `own`, without any other known process.
     pub fn new(own: NodeName, topology: Topology, network: Arc<dyn PeerNetwork>) -> Self {
         Self {
             own,
@@ -365,8 +367,8 @@
         }
     }
 
-    /// Takes the processes of the fleet, this one included, of which there are `processes`:
-    /// more than are known, for a process that has just started.
+    /// Replaces the known processes of the fleet, including this one. `processes` is the size of
+    /// the fleet, which may exceed the number of known processes just after this one has started.
     pub fn set_fleet(&self, fleet: Vec<Peer>, processes: usize) {
         let mut ranking = self.lock();
         ranking.processes = processes;
@@ -381,23 +383,24 @@
         }
     }
 
-    /// The processes of the fleet, this one included; empty while they are not known.
+    /// Returns the processes of the fleet, including this one; empty while they are not known.
     pub fn fleet(&self) -> Vec<Peer> {
         self.lock().fleet.clone()
     }
 
-    /// How many processes the fleet has, as far as is known, this one included.
+    /// Returns the number of processes in the fleet as far as is known, including this one.
     pub fn fleet_len(&self) -> usize {
         let ranking = self.lock();
         ranking.fleet.len().max(ranking.processes)
     }
 
-    /// The processes that learn what the store holds first in their zones, of all zones.
+    /// Returns the followers of all zones, which receive the store's state before the other
+    /// processes of their zones.
     pub fn all_followers(&self) -> Vec<Peer> {
         self.lock().all_followers()
     }
 
-    /// Where a process of `zone` learns what the store holds.
+    /// Returns where this process, in `zone`, receives the store's state from.
     pub fn store_source(&self, zone: &ZoneName) -> StoreSource {
         let (order, followers) = {
             let mut ranking = self.lock();
@@ -416,15 +419,15 @@
         StoreSource::Peers(addresses)
     }
 
-    /// This process's place in the order in which processes are to hold duties of the whole
-    /// fleet, the same everywhere; zero is first. Those that hear of the store first come
-    /// first. `None` where the fleet does not know this process yet.
+    /// Returns this process's rank, starting at zero, in the order in which processes take on
+    /// fleet-wide duties. The order is the same in every process; those that receive the store's
+    /// state first come first. `None` if this process is not part of the known fleet yet.
     pub fn duty_rank(&self) -> Option<usize> {
         let order = self.lock().duty_order();
         order.iter().position(|peer| peer.node == self.own)
     }
 
-    /// Where the first `count` processes of that order answer, but for this one.
+    /// Returns the addresses of the first `count` processes of that order, except this one.
     pub fn duty_addresses(&self, count: usize) -> Vec<SocketAddr> {
         let order = self.lock().duty_order();
         let first = order.iter().take(count);
@@ -432,8 +435,8 @@
         others.map(|peer| peer.address).collect()
     }
 
-    /// Where a few processes answer that follow the store for other zones than `zone`, not
-    /// the same ones for each process that asks.
+    /// Returns the addresses of a few followers of other zones than `zone`. The choice differs
+    /// between calling processes.
     pub fn followers_in_other_zones(&self, zone: &ZoneName) -> Vec<SocketAddr> {
         let followers = self.lock().all_followers();
         let elsewhere = followers.iter().filter(|peer| peer.zone != *zone);
@@ -441,13 +444,13 @@
         first.map(|peer| peer.address).collect()
     }
 
-    /// Whether other processes of `zone` learn what the store holds from this one.
+    /// Whether other processes of `zone` receive the store's state from this one.
     pub fn is_follower(&self, zone: &ZoneName) -> bool {
         let followers = self.lock().followers_of(zone);
         self.is_among(&followers)
     }
 
-    /// Where up to `count` other processes answer, drawn anew each time.
+    /// Returns the addresses of up to `count` other processes, chosen at random on each call.
     pub fn random_peers(&self, count: usize) -> Vec<SocketAddr> {
         let ranking = self.lock();
         let fleet = &ranking.fleet;
@@ -456,7 +459,7 @@
         others.map(|peer| peer.address).collect()
     }
 
-    /// Half of the fleet asks the one of two first, half the other.
+    /// Balances the load of the fleet over two addresses: half of all processes try each one first.
     fn order_by_own_key(&self, addresses: &mut [SocketAddr]) {
         order_by_key(self.own.as_bytes(), addresses);
     }
@@ -466,21 +469,21 @@
         &self.links
     }
 
-    /// Forgets members that are no longer there.
+    /// Drops the state of members that no longer exist.
     pub fn retain_members(&self, is_known: impl Fn(&str) -> bool) {
         lock(&self.direct).retain(|id, _| is_known(id));
         self.lock().candidates.retain(|id, _| is_known(id));
     }
 
-    /// The permits for this process's own connections to `member` while it reaches no home:
-    /// [`MIN_PROCESS_CONNECTIONS`] of them, whatever they are used for.
+    /// Returns the semaphore for this process's direct connections to `member` while no home is
+    /// reachable. It has [`MIN_PROCESS_CONNECTIONS`] permits for all purposes together.
     pub(super) fn direct_permits(&self, member: &Member) -> Arc<Semaphore> {
         let mut direct = lock(&self.direct);
         let permits = direct.entry(member.id.clone());
         Arc::clone(permits.or_insert_with(|| Arc::new(Semaphore::new(MIN_PROCESS_CONNECTIONS))))
     }
 
-    /// The candidates for `member`, the homes first.
+    /// Returns the candidates for `member`, the homes first.
     pub fn candidates(&self, member: &Member) -> Arc<[Peer]> {
         let mut ranking = self.lock();
         if let Some(known) = ranking.candidates.get(&member.id) {
@@ -492,26 +495,27 @@
         candidates
     }
 
-    /// Whether this process is a home of `member`; one that knows no other is.
+    /// Whether this process is a home of `member`. Always true while no process of the fleet is
+    /// known.
     pub fn is_home(&self, member: &Member) -> bool {
         let candidates = self.candidates(member);
         candidates.is_empty()
             || self.is_among(&candidates[..HOMES_PER_MEMBER.min(candidates.len())])
     }
 
-    /// Whether this process may come to hold connections to `member` for others.
+    /// Whether this process is a home of `member` or may replace a failed one.
     pub fn is_candidate(&self, member: &Member) -> bool {
         self.is_among(&self.candidates(member))
     }
 
-    /// The candidates for keeping the evidence of `block`, the keeper first, where no regions
-    /// are known.
+    /// Returns the candidates for reading the evidence of `block`, the current reader first, if no
+    /// regions are known.
     pub fn evidence_readers(&self, block: usize) -> Arc<[Peer]> {
         self.evidence_readers_near(block, None)
     }
 
-    /// The candidates for keeping the evidence of `block`, the keeper first: processes of
-    /// `region`, if there are any.
+    /// Returns the candidates for reading the evidence of `block`, the current reader first.
+    /// Processes in `region` are preferred.
     pub fn evidence_readers_near(&self, block: usize, region: Option<&RegionName>) -> Arc<[Peer]> {
         let mut ranking = self.lock();
         let key = (block, region.cloned());
@@ -525,8 +529,8 @@
         readers
     }
 
-    /// A link to the process that keeps the evidence of `block` near `region`, or to the one
-    /// that follows it; `None` where that is this process, or none is reached.
+    /// Returns a link to the process that reads the evidence of `block` near `region`, or to the
+    /// next candidate. `None` if this process is the reader, or no candidate is reachable.
     pub async fn choose_evidence_reader(
         &self,
         block: usize,
@@ -541,7 +545,7 @@
         self.links.first_usable(&addresses).await
     }
 
-    /// The candidates for counting `shard` of the rate limits, the counter first.
+    /// Returns the candidates for counting `shard` of the rate limits in order of preference.
     fn counters(&self, shard: Shard) -> Arc<[Peer]> {
         let mut ranking = self.lock();
         if let Some(known) = ranking.counters.get(&shard) {
@@ -553,13 +557,14 @@
         counters
     }
 
-    /// This process's place among the candidates for counting `shard`, if it is one.
+    /// Returns this process's rank among the candidates for counting `shard`, if it is one.
     pub fn counter_rank(&self, shard: Shard) -> Option<usize> {
         let counters = self.counters(shard);
         counters.iter().position(|peer| peer.node == self.own)
     }
 
-    /// Where the others of these candidates answer: first the one that granted permits last.
+    /// Returns the addresses of the other candidates for counting `shard`, first the one that last
+    /// answered for it.
     pub fn counter_addresses(&self, shard: Shard) -> Vec<SocketAddr> {
         let counters = self.counters(shard);
         let others = counters.iter().filter(|peer| peer.node != self.own);
@@ -569,21 +574,20 @@
         addresses
     }
 
-    /// Where the candidate for counting `shard` called `node` answers, if it is another one.
+    /// Returns the address of the candidate `node` for counting `shard`, unless it is this process.
     pub fn counter_address(&self, shard: Shard, node: &str) -> Option<SocketAddr> {
         let counters = self.counters(shard);
         let found = counters.iter().find(|peer| &*peer.node == node)?;
         Some(found.address).filter(|_| found.node != self.own)
     }
 
-    /// Notes that the process at `address` has granted or refused permits of `shard`.
+    /// Records that the process at `address` has granted or refused permits of `shard`.
     pub fn note_counter(&self, shard: Shard, address: SocketAddr) {
         self.lock().last_counters.insert(shard, address);
     }
 
-    /// The shards of the rate limits, in the order in which a process of `zone` asks them for
-    /// `tenant`: those of its zone first. Where a zone has several, tenants begin with different
-    /// ones.
+    /// Returns the shards in the order in which a process of `zone` requests permits for `tenant`,
+    /// those of its zone first. If a zone has several shards, tenants start with different ones.
     pub fn shards_by_distance(&self, zone: &ZoneName, tenant: &TenantName) -> [Shard; SHARD_COUNT] {
         let zones = self.lock().zones();
         let count = zones.len().max(1);
@@ -599,10 +603,10 @@
         peers.iter().any(|peer| peer.node == self.own)
     }
 
-    /// A link to a process that holds connections to `member`: to one of its homes if one
-    /// answers, else to one of those that follow, of those that `residency` allows. Where there
-    /// are tenants, each has one of the homes that the whole fleet asks first, so that the
-    /// connections which are good for that tenant only are found in one place.
+    /// Returns a link to a process that holds connections to `member` and that `residency` allows:
+    /// one of its homes if one is reachable, otherwise one of the next candidates. With tenants,
+    /// the whole fleet tries the same home first for each tenant, so that the connections usable
+    /// only for that tenant are in one place.
     pub async fn choose_link(
         &self,
         member: &Member,
--- a/crates/engine/src/home/remote.rs
+++ b/crates/engine/src/home/remote.rs
@@ -1,4 +1,4 @@
-//! Connections to a member by way of its homes.
+//! Connections to a member through its homes.
 
 use super::placement::{CANDIDATES_PER_MEMBER, Homes};
 use crate::directory::Member;
@@ -19,8 +19,8 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-/// Reaches one member through its homes in allowed regions; by itself, with few connections,
-/// while none of these can be reached.
+/// Back end that connects to a member through its homes in allowed regions, or directly with a few
+/// connections while no such home is reachable.
 #[derive(Debug)]
 pub struct RemoteBackEnd {
     homes: Arc<Homes>,
@@ -29,7 +29,7 @@
 }
 
 impl RemoteBackEnd {
-    /// By way of those `homes` that `residency` allows, or by `direct`.
+    /// Creates a back end that uses those `homes` that `residency` allows, and `direct` otherwise.
     pub fn new(homes: Arc<Homes>, direct: Arc<dyn BackEnd>, residency: Residency) -> Self {
         Self {
             homes,
@@ -64,7 +64,7 @@
     }
 }
 
-/// One of the few connections of a process that reaches no home.
+/// One of the few direct connections of a process that can't reach any home.
 #[derive(Debug)]
 struct DirectConnection {
     connection: Box<dyn BackEndConnection>,
@@ -90,17 +90,18 @@
     }
 }
 
-/// What becomes of a command.
+/// How a command is processed.
 #[derive(Debug)]
 enum Plan {
-    /// It is answered here: no member is needed for it.
+    /// Answered locally, since it doesn't need the member.
     Answer(Answer),
-    /// A home is to run it.
+    /// Forwarded to a home.
     Forward(HomeCommand),
 }
 
-/// A connection that exists here only: what a session has set and prepared on it goes along
-/// with each command, and a home runs each unit on whichever connection is free.
+/// A virtual connection without a counterpart at the home. Session variables and prepared
+/// statements are sent along with each command, and the home runs each unit (a statement or a
+/// transaction) on any free connection.
 #[derive(Debug)]
 struct RemoteConnection {
     homes: Arc<Homes>,
@@ -110,7 +111,7 @@
     admission: Admission,
     values: BTreeMap<Bytes, Bytes>,
     prepared: HashMap<Bytes, PreparedStatement>,
-    /// The unit that is open at the home.
+    /// Unit that is open at the home.
     unit: Option<UnitId>,
     state: TransactionState,
 }
@@ -139,7 +140,7 @@
         self.link.get()
     }
 
-    /// Answers what needs no member; else what a home is to run.
+    /// Answers `command` locally if it doesn't need the member; otherwise converts it for a home.
     fn plan(&mut self, command: &Command) -> Plan {
         match command {
             Command::Set { name, value } => {
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Has a command run at the home, in the unit that is open there or in one that begins.
+    /// Runs a command at the home, in the open unit or in a new one.
     async fn forward(&mut self, command: HomeCommand) -> Result<HomeOutcome, LinkError> {
         let ended = "the link to the home has ended";
         let begins = self.unit.is_none();
@@ -220,14 +221,15 @@
                 false => Err(LinkError::Closed(ended.to_owned())),
             };
         };
-        // From here on a call that is dropped leaves the unit to be closed.
+        // Record the unit before waiting, so that it is closed if this future is dropped.
         self.unit = Some(unit);
         metrics::counter!("stilequay_home_forwarded_total").increment(1);
         let outcome = answer.await;
         outcome.map_err(|_| LinkError::Closed("the link to the home ended".to_owned()))
     }
 
-    /// Leaves a home that runs nothing at the member; returns whether there is another.
+    /// Switches away from a home that can't run commands at the member. Returns whether another
+    /// home is available.
     async fn switch_home(&mut self) -> bool {
         self.unit = None;
         self.link().distrust();
@@ -245,7 +247,7 @@
         }
     }
 
-    /// Takes what came of a command that was sent.
+    /// Updates the state of the connection from the outcome of a command.
     fn apply(&mut self, outcome: HomeOutcome) -> Result<Answer, LinkError> {
         match outcome {
             HomeOutcome::Answered(answer) => {
@@ -328,8 +330,8 @@
             return self.apply(outcome);
         }
         let mut outcome = self.forward(command.clone()).await?;
-        // A home that has just started, or hears nothing of the store: the next one may know
-        // the member, and that it may be sent to.
+        // The home has just started or receives no updates from the store. The next one may know
+        // the member and be allowed to send to it.
         for _ in 1..CANDIDATES_PER_MEMBER {
             let passed_on = matches!(
                 outcome,
--- a/crates/engine/src/home/unit.rs
+++ b/crates/engine/src/home/unit.rs
@@ -1,5 +1,5 @@
-//! A unit at a home: a single statement, or a transaction, on one of the connections that
-//! the home holds.
+//! Units that a home runs for other processes: a single statement or a transaction on one of the
+//! connections that the home holds.
 
 use crate::directory::Member;
 use crate::engine::Engine;
@@ -16,14 +16,14 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep};
 
-/// How long a command goes on for which nobody waits any more: most are answered soon, and
-/// the connection stays good.
+/// How long a command continues to run after its requester has stopped waiting. Most are answered
+/// within this time, and the connection can be reused.
 const ABANDONED_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The code of what is not sent any more, in events.
+/// Error code, used in events, of commands that may not be sent to an evacuated zone.
 const MAY_NOT_SEND_CODE: &[u8] = b"HOME_MAY_NOT_SEND";
 
-/// A unit on its connection.
+/// A unit and the connection it runs on.
 #[derive(Debug)]
 pub struct Unit {
     group: Arc<Group>,
@@ -35,11 +35,11 @@
 }
 
 impl Unit {
-    /// Waits for the turn of the unit that begins with `request`.
+    /// Waits for a connection for the unit that begins with `request`.
     ///
     /// # Errors
     ///
-    /// [`NotSent`] where there is no connection in time.
+    /// Returns [`NotSent`] if no connection can be acquired in time.
     pub async fn open(engine: &Engine, request: &RunRequest) -> Result<Self, NotSent> {
         let now = Instant::now();
         let pool = usable_pool(engine, &request.member, now)?;
@@ -65,7 +65,7 @@
             AcquireError::SlowStart(retry_after) => NotSent::SlowStart { retry_after },
             error => NotSent::Unreachable(error.to_string()),
         })?;
-        // They may have changed while the unit waited.
+        // The home regions may have changed while the unit waited.
         check_regions(engine, request, &pool)?;
         Ok(Self {
             replicated: engine.sync_replicas(group.name()) > 0,
@@ -77,13 +77,13 @@
         })
     }
 
-    /// Ends it where nobody waits for it any more.
+    /// Rolls the unit back after its requester has stopped waiting for it.
     pub fn roll_back(self) {
         self.connection.roll_back();
     }
 
-    /// Runs a command; for a moment only where nobody waits for it any more. `None` where
-    /// it was given up.
+    /// Runs a command. Once the requester stops waiting for it, the command is given only a short
+    /// time to finish; `None` if it did not.
     pub async fn run_unless_abandoned(
         &mut self,
         request: RunRequest,
@@ -130,8 +130,8 @@
         }
     }
 
-    /// The connection failed before a command was sent on it. In a transaction, what was
-    /// done before is lost with it.
+    /// Returns the outcome of a command whose connection failed before it was sent. An open
+    /// transaction is lost with the connection.
     fn failed_before(&self, reason: String) -> HomeOutcome {
         match self.has_begun {
             true => HomeOutcome::Lost(reason),
@@ -139,8 +139,9 @@
         }
     }
 
-    /// Nothing is sent any more. What was done in a transaction goes with its connection: the
-    /// caller's next command, a commit too, is refused as one that the member has not run.
+    /// Returns the outcome of a command that may not be sent because of an evacuation. An open
+    /// transaction is lost with its connection: the caller's next command, including a commit, is
+    /// refused as one that the member has not run.
     fn sending_refused(&self, reason: MayNotSend) -> HomeOutcome {
         if !self.has_begun {
             return HomeOutcome::NotSent(NotSent::MayNotSend(reason.to_string()));
@@ -208,8 +209,8 @@
         }
     }
 
-    /// Takes what an answer tells of the leader: the evidence of the whole fleet's commits
-    /// comes together here.
+    /// Records what an answer shows about the leader. The home thereby collects evidence from the
+    /// commits of the whole fleet.
     fn record_evidence(
         &self,
         leader: Option<&UsableLeader>,
@@ -227,8 +228,8 @@
     }
 }
 
-/// Looks whether the home regions that this process knows of allow the member. Whoever has
-/// sent `request` has chosen it by its own knowledge, which may be older.
+/// Checks whether the home regions known to this process allow the member. The process that sent
+/// `request` may have chosen the member by an older configuration.
 fn check_regions(engine: &Engine, request: &RunRequest, pool: &MemberPool) -> Result<(), NotSent> {
     let residency = engine.residency(&request.database, request.tenant.as_ref());
     let topology = &engine.settings().topology;
@@ -238,8 +239,9 @@
     member.map(|_| ()).ok_or(NotSent::OutsideRegions)
 }
 
-/// Whether another member may run what begins with `command`: a read that asks for a position
-/// is not bound to the leader. It had better go there than wait for a cold member.
+/// Whether another member may run the unit that begins with `command`. A read that requires a
+/// position isn't bound to the leader, so it should use another member rather than wait for a cold
+/// one.
 fn may_run_elsewhere(command: &HomeCommand) -> bool {
     match command {
         HomeCommand::Begin { read_only, after } => *read_only && after.is_some(),
@@ -249,7 +251,7 @@
 }
 
 fn usable_pool(engine: &Engine, member: &str, now: Instant) -> Result<Arc<MemberPool>, NotSent> {
-    // Without a configuration it knows neither home regions nor cold members.
+    // Without a configuration, this process knows neither home regions nor cold members.
     if engine.configuration().is_none() {
         return Err(NotSent::UnknownMember);
     }
--- a/crates/engine/src/rate/bucket.rs
+++ b/crates/engine/src/rate/bucket.rs
@@ -1,25 +1,26 @@
-//! A token bucket.
+//! Token bucket with a rate and capacity that can be changed at run time.
 
 use super::BucketShare;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest time told to callers until the next token.
+/// Upper limit of the wait reported to callers.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(2);
 
-/// Tokens that are filled in at a rate, up to a capacity, and taken one at a time: in a span
-/// of `t` seconds, no more are taken than the capacity and what is filled in within `t`.
+/// A token bucket that is refilled at a constant rate up to a capacity. Within any `t` seconds it
+/// yields at most its capacity plus the tokens refilled in `t`.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     share: BucketShare,
     tokens: f64,
     refilled_at: Instant,
-    /// A lower share, and from when on it holds.
+    /// A lower share and the time at which it takes effect.
     pending_decrease: Option<(BucketShare, Instant)>,
 }
 
 impl TokenBucket {
-    /// A bucket that is filled from `began` on, and holds what it begins with at once.
+    /// Creates a bucket that is refilled from `began` on. Its initial tokens are available
+    /// immediately.
     pub fn new(share: BucketShare, began: Instant) -> Self {
         Self {
             share,
@@ -29,8 +30,8 @@
         }
     }
 
-    /// Changes how it is filled, and what it holds. More is given at once; what is taken away
-    /// only at `lower_at`, or earlier where something lower was to hold by then.
+    /// Changes the rate and the capacity. An increase takes effect immediately, a decrease at
+    /// `lower_at`, or with a decrease that is already pending if that is earlier.
     pub fn set_share(&mut self, share: BucketShare, now: Instant, lower_at: Instant) {
         self.refill(now);
         let known = self.share;
@@ -49,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// How long it takes until there is one.
+    /// Returns the time until a token is available, up to a fixed maximum.
     pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
         self.refill(now);
         if self.tokens >= 1.0 {
--- a/crates/engine/src/rate/counter.rs
+++ b/crates/engine/src/rate/counter.rs
@@ -1,4 +1,4 @@
-//! The side that grants: one process for each shard counts what the fleet runs.
+//! Server side of the rate limits: one process per shard grants permits to the whole fleet.
 
 use super::{RateBounds, SHARD_COUNT, TokenBucket};
 use crate::configuration::Configuration;
@@ -11,36 +11,38 @@
 use stilequay_coordination::lease::{Lease, LeaseRecord};
 use tokio::time::Instant;
 
-/// One of the parts into which each limit is divided, below [`SHARD_COUNT`].
+/// Index of one of the parts into which each limit is divided, below [`SHARD_COUNT`].
 pub type Shard = usize;
 
-/// How long a process goes on pursuing a shard after it was asked for permits of it.
+/// How long a process keeps trying to acquire a shard after a permit of it was requested.
 const REQUEST_LIFETIME: Duration = Duration::from_secs(6);
 
-/// Share of the time in which changes of the configuration must be acted on, after which a
-/// lowered limit holds. What was granted before is used by then, and queues are short.
+/// Delay before a lowered limit takes effect, as a share of the bound within which configuration
+/// changes must be applied. The remainder is enough for permits granted before to be used, and for
+/// the short queues to drain.
 const LOWERED_LIMIT_DELAY_SHARE: f64 = 0.8;
 
-/// What came of asking for a permit.
+/// Reply to a permit request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitReply {
     /// The operation may be sent.
     Granted,
-    /// The tenant has none left; the time until the next one.
+    /// The tenant has no permit left; the time until the next one.
     Exhausted(Duration),
-    /// The shard is counted here; no permit was taken, as none was asked for.
+    /// This process counts the shard; no permit was taken because none was requested.
     Counted,
-    /// Another process counts this shard, or none does; or this one does not know the tenant.
+    /// This process does not count the shard, or does not know the tenant.
     NotCounted,
 }
 
-/// A shard that this process counts.
+/// A shard whose lease this process holds.
 #[derive(Debug)]
 struct HeldShard {
     lease: Lease,
-    /// From when on buckets are filled: until then another may still be filling its own.
+    /// Time from which buckets are refilled. Until then the previous holder may still be refilling
+    /// its own.
     fills_from: Instant,
-    /// Whether buckets begin with tokens.
+    /// Whether new buckets start with initial tokens.
     has_initial: bool,
     buckets: HashMap<TenantName, TokenBucket>,
 }
@@ -49,11 +51,11 @@
 struct ShardState {
     held: Option<HeldShard>,
     requested_until: Option<Instant>,
-    /// The lease of another as its counter has told it last.
+    /// Lease most recently announced by another holder, until it is read.
     announced: Option<LeaseRecord>,
 }
 
-/// The shards as far as this process counts them.
+/// State of all shards as seen by this process, including the buckets of those it counts.
 #[derive(Debug)]
 pub struct Counters {
     origin: Instant,
@@ -70,12 +72,12 @@
 }
 
 impl Counters {
-    /// The clock of the leases: time since this was made.
+    /// Clock by which the leases are dated: time since this value was created.
     pub fn elapsed(&self) -> Duration {
         self.origin.elapsed()
     }
 
-    /// Takes one permit of `tenant` from `shard`.
+    /// Takes one permit for `tenant` from `shard`, if this process counts it.
     pub fn acquire(&self, engine: &Engine, shard: Shard, tenant: &TenantName) -> PermitReply {
         let Some(bounds) = rate_bounds(engine) else {
             return PermitReply::NotCounted;
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Whether `shard` is counted here, told as an answer to a process that needs no permit.
+    /// Reports whether this process counts `shard`, as a reply to a process that needs no permit.
     pub fn status(&self, shard: Shard) -> PermitReply {
         match self.counted_shards().any(|counted| counted == shard) {
             true => PermitReply::Counted,
@@ -116,28 +118,29 @@
         }
     }
 
-    /// Notes that a process lacks a counter of `shard`: this one is to become it.
+    /// Records that another process found no counter for `shard`, so that this process tries to
+    /// become it.
     pub fn request_counter(&self, shard: Shard) {
         if let Some(mut state) = self.lock(shard) {
             state.requested_until = Some(Instant::now() + REQUEST_LIFETIME);
         }
     }
 
-    /// Notes a lease that its counter has told of, which has just been written.
+    /// Records a lease that its holder has just written and announced.
     pub fn note_announced(&self, shard: Shard, record: LeaseRecord) {
         if let Some(mut state) = self.lock(shard) {
             state.announced = Some(record);
         }
     }
 
-    /// The lease that was told of last, once.
+    /// Removes and returns the most recently announced lease.
     pub(super) fn take_announced(&self, shard: Shard) -> Option<LeaseRecord> {
         self.lock(shard)?.announced.take()
     }
 
-    /// Takes the limits of a configuration that has just been learned of. Tenants keep what is
-    /// taken away from them for most of the time that changes of the configuration may take:
-    /// they can't know of it sooner, and are owed it until then.
+    /// Applies the limits of a new configuration. A lowered limit takes effect only after most of
+    /// the bound within which configuration changes must be applied: tenants can't know of the
+    /// change sooner and are entitled to the old limit until then.
     pub(crate) fn apply_configuration(&self, engine: &Engine, configuration: &Configuration) {
         let Some(bounds) = rate_bounds(engine) else {
             return;
@@ -166,7 +169,7 @@
         }
     }
 
-    /// The shards that are counted here now.
+    /// Returns the shards that this process currently counts.
     pub fn counted_shards(&self) -> impl Iterator<Item = Shard> {
         let now = self.elapsed();
         let holds = move |shard: &Shard| {
@@ -176,22 +179,22 @@
         (0..SHARD_COUNT).filter(holds)
     }
 
-    /// The lease of `shard`, held still or not.
+    /// Returns the lease of `shard` if this process has acquired it, even if it has expired.
     pub(super) fn lease(&self, shard: Shard) -> Option<Lease> {
         let state = self.lock(shard)?;
         state.held.as_ref().map(|held| held.lease.clone())
     }
 
-    /// Whether processes have asked for permits of `shard` lately that it could not give.
+    /// Whether other processes have recently found no counter for `shard`.
     pub(super) fn is_requested(&self, shard: Shard, now: Instant) -> bool {
         let state = self.lock(shard);
         let until = state.and_then(|state| state.requested_until);
         until.is_some_and(|until| now < until)
     }
 
-    /// Takes a lease that was acquired: what was counted before it is not known. The buckets
-    /// begin with tokens only if `has_initial`, and are filled from `fills_from` on, a moment on
-    /// the clock of the leases.
+    /// Starts counting under a newly acquired lease, without any knowledge of permits granted
+    /// before. Buckets start with initial tokens only if `has_initial`, and are refilled from
+    /// `fills_from` on, a time on the lease clock.
     pub(super) fn start(
         &self,
         shard: Shard,
@@ -209,7 +212,8 @@
         }
     }
 
-    /// Takes a lease that was renewed: nobody has counted meanwhile, even if it had lapsed.
+    /// Continues counting under a renewed lease and keeps the buckets: no other process has
+    /// counted in the meantime, even if the lease had expired.
     pub(super) fn renew(&self, shard: Shard, lease: Lease) {
         if let Some(mut state) = self.lock(shard)
             && let Some(held) = &mut state.held
@@ -218,21 +222,22 @@
         }
     }
 
-    /// Counts no more.
+    /// Stops counting `shard` and drops its buckets.
     pub(super) fn stop(&self, shard: Shard) {
         if let Some(mut state) = self.lock(shard) {
             state.held = None;
         }
     }
 
-    /// `None` where there is no such shard: another process has asked for it.
+    /// Locks the state of `shard`. `None` if there is no such shard, since shard numbers arrive
+    /// from other processes.
     fn lock(&self, shard: Shard) -> Option<MutexGuard<'_, ShardState>> {
         let state = self.shards.get(shard)?;
         Some(state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-/// How exactly rate limits are kept here; `None` where they are not.
+/// Accuracy settings of the rate limits; `None` if rate limiting is disabled.
 pub(super) fn rate_bounds(engine: &Engine) -> Option<RateBounds> {
     engine.settings().tenants.as_ref()?.rates
 }
--- a/crates/engine/src/rate/mod.rs
+++ b/crates/engine/src/rate/mod.rs
@@ -1,50 +1,50 @@
-//! Rate limits of tenants, kept over the whole fleet.
+//! Fleet-wide rate limits of tenants.
 //!
-//! The fleet's processes together may run no more of a tenant's operations in any window than
-//! a bound allows ([`RateBounds`]), however they are cut off from one another. So each
-//! operation needs a permit before it is sent to a member, and permits come from few places:
-//! each tenant's limit is divided among [`SHARD_COUNT`] processes, the counters. Each holds a
-//! lease in the store for its shard, and a token bucket for each tenant ([`counter`]). A
-//! process that is to run an operation asks the counters of its zone, then the others, and
-//! passes by those that are late ([`permit`]). In a fleet of 80 processes of which 28 were cut
-//! off for 12 s that lowered the operations refused for want of a counter from 8,009 to none,
-//! with three counters asked in turn before (one play each).
+//! In any window, all processes of the fleet together may run at most as many operations of a
+//! tenant as [`RateBounds`] allows, even during network partitions. Each operation therefore needs
+//! a permit before it is sent to a member. Permits are granted by a few processes, the counters:
+//! each tenant's limit is divided among [`SHARD_COUNT`] shards, and one process per shard holds its
+//! lease in the store and a token bucket for each tenant ([`counter`]). A process that wants to run
+//! an operation queries the counters of its zone first, then the others, and skips those that are
+//! late ([`permit`]). Compared with querying three counters in sequence, this reduced the
+//! operations refused for lack of a counter from 8,009 to none in a fleet of 80 processes of which
+//! 28 were partitioned for 12 s (one run each).
 //!
-//! | what happens | what comes of it |
+//! | event | consequence |
 //! | --- | --- |
-//! | a counter is killed, cut off or frozen | the other shards have five sixths of each limit; a successor that does not reach it either takes the shard over and grants what it begins with, and fills its buckets once the lease before has lapsed |
-//! | the store is away | the leases last for some seconds; then no permits are given, and nobody may be served by then either, since the configuration can't be proved |
-//! | a fleet is split | a lease has one holder: the sides share the counters that they reach, or have none |
-//! | a permit is used late | it lapses; the operation needs another one |
-//! | a counter thaws | what it grants from there on it has checked its lease for; an answer that was on its way grants nothing, since permits count from before the question |
+//! | a counter is killed, partitioned or paused | the other shards still have five sixths of each limit; a successor that can't reach it either takes the shard over, grants its initial tokens, and refills its buckets once the previous lease has expired |
+//! | the store is unavailable | the leases last for some seconds; afterwards no permits are granted, and by then no caller may be served anyway, since the configuration can't be verified |
+//! | the fleet is split | a lease has one holder: each side uses the counters that it can reach, or has none |
+//! | a permit is used late | it has expired; the operation needs another one |
+//! | a paused counter resumes | it checks its lease before each further grant; a reply that was already in transit grants nothing, since the lifetime of a permit starts before its request is sent |
 //!
-//! # The sum
+//! # Derivation of the bound
 //!
-//! With a rate of `r` operations a second, a burst of `b`, and windows of `w` seconds, the
-//! fleet may run `(r w + b) (1 + excess) + slack` operations in each window. The buckets of
-//! all shards together grant at most `r w + b` in it, and beyond that, with
-//! `e = excess (r w + b) + slack`:
+//! With a rate of `r` operations a second, a burst of `b`, and windows of `w` seconds, the fleet
+//! may run `(r w + b) (1 + excess) + slack` operations in each window. The buckets of all shards
+//! together grant at most `r w + b` in it. The excess `e = excess (r w + b) + slack` covers:
 //!
 //! | source | at most |
 //! | --- | --- |
-//! | buckets a little larger than `b`, so that small ones hold whole tokens | 0.5 slack |
-//! | permits that were granted before the window and are used in it: they last 0.4 excess w | 0.4 excess w r |
-//! | buckets of counters that took over in the window: a counter begins with tokens only where the one before has held its lease for a whole window, so once in each | 0.5 e |
+//! | bucket capacity slightly above `b`, so that small buckets hold whole tokens | 0.5 slack |
+//! | permits granted before the window and used in it: they are valid for 0.4 excess w | 0.4 excess w r |
+//! | initial tokens of counters that took over in the window: a counter starts with tokens only if its predecessor has held the lease for a whole window, so this happens once per window | 0.5 e |
 //!
-//! which is no more than `e`: the first two leave at least half of its slack and 0.6 of the
+//! The sum does not exceed `e`: the first two rows leave at least half of the slack and 0.6 of the
 //! excess of `r w`.
 //!
-//! A successor may come before the lease of the counter before it has lapsed, and both grant
-//! for a while. The sum is the same: the one before grants what its bucket holds and what is
-//! filled in until its lease ends; the successor what it begins with, and what is filled in
-//! from there on. The end is that of the record which the successor has replaced, counted from
-//! when it has learned of it: no counter that was replaced earlier acts for longer, as its
-//! last renewal was before that record was written. Where
-//! the one before has taken the lease early itself, a window between two that begin with tokens
-//! is too short: in the first seconds of the second the first may still grant, and the third
-//! would begin within a window of that. It begins with tokens only if the second has counted
-//! for a lease and a window; and where the second gives the lease back sooner, buckets are filled
-//! once the first has surely stopped.
+//! A successor may take over before its predecessor's lease has expired, so that both grant for a
+//! while. The sum stays the same: the predecessor grants what its bucket holds and what is refilled
+//! until its lease ends; the successor grants its initial tokens and what is refilled from then on.
+//! The end is that of the record which the successor has replaced, counted from when the successor
+//! learned of it. A counter that was replaced earlier does not act for longer, because its last
+//! renewal happened before that record was written.
+//!
+//! If the predecessor itself took the lease early, one window between two counters that start with
+//! tokens is too short: the first counter may still grant in the first seconds of the second, and
+//! the third would start within a window of that. The third therefore starts with tokens only if
+//! the second has counted for a lease duration plus a window. If the second releases the lease
+//! sooner, the third refills its buckets only once the first has certainly stopped.
 
 mod bucket;
 pub mod counter;
@@ -61,37 +61,37 @@
 use crate::tenant::RateLimit;
 use std::time::Duration;
 
-/// Counters among which each limit is divided. With six each zone of three has two, and the
-/// loss of a zone leaves more than the five eighths of a limit that tenants commonly use; a
-/// tenant without a burst still has a whole token in each bucket.
+/// Number of shards among which each limit is divided. With six, each of three zones has two
+/// counters, and the loss of a zone leaves more than the five eighths of a limit that tenants
+/// commonly use. A tenant without a burst still has a whole token in each bucket.
 pub const SHARD_COUNT: usize = 6;
-/// Share of the slack by which buckets are larger than the burst: what is left in each of them
-/// is less than a whole token, and lost to the tenant while it asks for all that it may.
+/// Share of the slack by which bucket capacity exceeds the burst. It compensates for the fraction
+/// of a token that remains in each bucket and that a tenant at its limit can't use.
 const CAPACITY_SLACK_SHARE: f64 = 0.5;
-/// Share of the excess for which permits may be used after they were granted.
+/// Lifetime of permits as a share of the excess over one window.
 const PERMIT_LIFETIME_SHARE: f64 = 0.4;
-/// Share of all that is allowed beyond the limit with which a counter that takes over begins:
-/// after a restart of all processes callers come back together.
+/// Initial tokens of a counter that takes over, as a share of everything allowed beyond the limit.
+/// They absorb the callers that reconnect at the same time after a restart of all processes.
 const INITIAL_SHARE: f64 = 0.5;
 
-/// How exactly rate limits are kept.
+/// Accuracy of the rate limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateBounds {
-    /// Length of the windows in which operations are counted; every such span counts.
+    /// Length of the sliding windows in which operations are counted.
     pub window: Duration,
-    /// Share of a window's limit by which it may be exceeded.
+    /// Share by which a window's limit may be exceeded.
     pub excess: f64,
-    /// Operations by which it may be exceeded besides.
+    /// Number of operations by which it may be exceeded in addition.
     pub slack: f64,
 }
 
 impl RateBounds {
-    /// How long a permit may be used after it was asked for.
+    /// How long a permit is valid after it was requested.
     pub fn permit_lifetime(&self) -> Duration {
         self.window.mul_f64(self.excess * PERMIT_LIFETIME_SHARE)
     }
 
-    /// Most operations under `limit` in one window.
+    /// Maximum number of operations in one window under `limit`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -109,12 +109,12 @@
         limit.per_second * self.window.as_secs_f64() + limit.burst
     }
 
-    /// Operations of a window beyond what the limit itself allows.
+    /// Number of operations allowed in a window beyond the limit itself.
     fn allowance(&self, limit: RateLimit) -> f64 {
         self.excess * self.window_limit(limit) + self.slack
     }
 
-    /// What one shard's bucket is filled by, holds, and begins with.
+    /// One shard's share of `limit`: the refill rate, capacity and initial tokens of its bucket.
     pub fn share(&self, limit: RateLimit) -> BucketShare {
         let shards = SHARD_COUNT as f64;
         BucketShare {
@@ -125,13 +125,13 @@
     }
 }
 
-/// One shard's part of a limit, in tokens.
+/// One shard's share of a limit, in tokens.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BucketShare {
-    /// Filled in a second.
+    /// Refill rate per second.
     pub per_second: f64,
-    /// Held at the most.
+    /// Maximum number of tokens.
     pub capacity: f64,
-    /// Held when a counter takes over.
+    /// Tokens held when a counter takes over.
     pub initial: f64,
 }
--- a/crates/engine/src/rate/permit.rs
+++ b/crates/engine/src/rate/permit.rs
@@ -1,4 +1,4 @@
-//! The side that asks: a permit for each operation that is sent to a member.
+//! Client side of the rate limits: acquires a permit for each operation sent to a member.
 
 use super::counter::{Shard, rate_bounds};
 use super::permit_request::{PermitOutcome, request_permit};
@@ -13,59 +13,61 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Pause before the counters are asked again, where none of them counts.
+/// Pause before the counters are queried again if no shard could be reached.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// How long an operation waits for a counter where none is reached: after a restart of all
-/// processes leases are taken over within some 100 ms. Whoever waits longer is better off
-/// elsewhere, or later.
+/// Maximum time an operation waits while no counter is reachable. After a restart of all
+/// processes, leases are taken over within about 100 ms; a caller that would have to wait longer
+/// should retry elsewhere or later.
 const COUNTER_WAIT_MAX: Duration = Duration::from_millis(200);
-/// Least time for counters to answer, one of them late: an operation that has found a member
-/// at the end of its time is not refused because nobody was asked.
+/// Minimum time given to the counters, enough for one late reply. An operation that found a member
+/// only shortly before its deadline is not refused without having queried any counter.
 const COUNTER_WAIT_MIN: Duration = Duration::from_millis(30);
-/// Least time told to callers who are refused: those who count in milliseconds read nothing
-/// shorter as "at once".
+/// Minimum retry delay reported to refused callers. Callers with millisecond resolution would
+/// read a shorter one as zero and retry immediately.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(1);
-/// Tenants whose refusals are remembered; beyond it they are forgotten.
+/// Maximum number of tenants whose exhausted shards are cached; the cache is cleared when it is
+/// full.
 const EXHAUSTED_TENANTS_MAX: usize = 1_024;
 
-/// Leave to send one operation to a member.
+/// Permission to send one operation to a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Permit {
-    /// Until when the operation must be sent; `None` where it may be sent at any time.
+    /// Time by which the operation must be sent; `None` if the permit does not expire.
     pub until: Option<Instant>,
 }
 
 impl Permit {
-    /// Of a tenant without a limit.
+    /// Permit of a tenant without a rate limit.
     pub const UNLIMITED: Self = Self { until: None };
 
-    /// Whether it is good at `now`.
+    /// Whether the permit is valid at `now`.
     pub fn is_valid(&self, now: Instant) -> bool {
         self.until.is_none_or(|until| now < until)
     }
 }
 
-/// Tenants that metrics tell by name.
+/// Maximum number of tenants that have their own metric label, which bounds the label's
+/// cardinality.
 const LABELLED_TENANTS_MAX: usize = 16;
-/// What metrics call the others.
+/// Metric label of all other tenants.
 const OTHER_TENANTS_LABEL: &str = "other";
 
-/// Until when each shard need not be asked.
+/// For each shard, the time until which it need not be queried.
 type ShardDeadlines = [Option<Instant>; SHARD_COUNT];
 
-/// What this process has found out of shards that have no permits for it.
+/// Cached state of the shards that granted this process no permit, and the refusal metrics.
 #[derive(Debug, Default)]
 pub struct Refusals {
-    /// Those that have none left for a tenant.
+    /// Exhausted shards by tenant.
     exhausted: Mutex<HashMap<TenantName, ShardDeadlines>>,
-    /// Those whose counters don't answer.
+    /// Health of the shards' counters.
     pub(super) health: ShardHealth,
-    /// The tenants that metrics tell by name.
+    /// Tenants with their own metric label.
     labelled: Mutex<HashSet<TenantName>>,
 }
 
 impl Refusals {
-    /// Until when `shard` has none for `tenant`, if that is after `now`.
+    /// Returns the time until which `shard` has no permit for `tenant`, if that is after `now`.
     pub(super) fn exhausted_until(
         &self,
         tenant: &TenantName,
@@ -86,7 +88,7 @@
         known.entry(tenant.clone()).or_default()[shard] = Some(until);
     }
 
-    /// Counts an operation of `tenant` that was refused.
+    /// Increments the refusal metric for `tenant`.
     fn count_refusal(&self, tenant: &TenantName, reason: &FailureReason) {
         let mut labelled = lock(&self.labelled);
         if labelled.len() < LABELLED_TENANTS_MAX {
@@ -107,12 +109,13 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A permit for one operation of `tenant`, that is asked for until `deadline` where nobody
-/// grants one.
+/// Acquires a permit for one operation of `tenant`, retrying until `deadline` while no counter is
+/// reachable.
 ///
 /// # Errors
 ///
-/// [`Failure`] where the tenant has none left, or no counter is reached: nothing has run.
+/// Returns [`Failure`] if the tenant's limit is exhausted or no counter is reachable. The
+/// operation has not run in either case.
 pub async fn acquire(
     engine: &Arc<Engine>,
     tenant: &Tenant,
--- a/crates/engine/src/rate/permit_request.rs
+++ b/crates/engine/src/rate/permit_request.rs
@@ -1,9 +1,9 @@
-//! Which counters one operation asks, and for how long it waits for each.
+//! Requests one permit from the counters, shard by shard, with a short timeout for each.
 //!
-//! Load pattern: a third of the fleet is cut off or stands still, and every process has
-//! operations under way. None of them may wait for a counter that does not answer while another
-//! one would: a late question goes on in a task of its own, and the operation asks the next
-//! shard.
+//! Designed for the case that a third of the fleet is partitioned or paused while every process
+//! has operations in progress. No operation may wait for an unresponsive counter while another
+//! one would respond, so a late request continues in its own task and the operation tries the
+//! next shard.
 
 use super::counter::{PermitReply, Shard};
 use super::permit::Permit;
@@ -19,52 +19,52 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Longest wait for one counter's answer: many times what one takes.
+/// Timeout of one request to a counter, many times the usual response time.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(80);
-/// Wait after which the next shard is asked: ten times what an answer takes, and little beside
-/// the 150 ms that callers hope for.
+/// Delay after which the next shard is tried: ten times the usual response time, and small
+/// compared with the 150 ms within which callers expect a response.
 const LATE_AFTER: Duration = Duration::from_millis(25);
-/// Wait for answers that are late: a silent counter's time, and that of its successor, which is
-/// asked after it.
+/// Time limit for late replies: the timeout of an unresponsive counter plus the response time of
+/// its successor, which is queried after it.
 const SUCCESSOR_WAIT: Duration = Duration::from_millis(100);
-/// Questions of one operation that may be under way: where this process itself is slow all
-/// answers are late, and each question more would make it slower.
+/// Maximum number of pending requests per operation. If this process itself is slow, all replies
+/// are late, and each additional request would slow it down further.
 const PENDING_REQUESTS_MAX: usize = 4;
 
-/// What all shards together have said.
+/// Combined result of all shards.
 #[derive(Debug)]
 pub(super) enum PermitOutcome {
     Granted(Permit),
-    /// Those that could be asked have none left, the first of them for this long.
+    /// No reachable shard has a permit left; the shortest time until one has.
     Exhausted(Duration),
-    /// None could be asked.
+    /// No shard could be reached.
     Unknown,
 }
 
-/// One answer, and when it was asked for.
+/// Reply of one shard and the time at which the request was sent.
 struct ShardReply {
     shard: Shard,
     sent_at: Instant,
     reply: PermitReply,
 }
 
-/// The questions of one operation.
+/// Permit requests of one operation.
 struct PermitRequests<'a> {
     engine: &'a Arc<Engine>,
     tenant: &'a TenantName,
-    /// How long a permit may be used after it was asked for.
+    /// How long a permit is valid after it was requested.
     lifetime: Duration,
-    /// Until when answers are waited for.
+    /// Deadline for replies.
     deadline: Instant,
     pending: FuturesUnordered<oneshot::Receiver<ShardReply>>,
-    /// The first shard that was passed by, as another operation waits for its answer.
+    /// First shard that was skipped because another operation is already waiting for its reply.
     skipped: Option<Shard>,
-    /// Time until a shard that has none left has the next one.
+    /// Shortest time until an exhausted shard has its next permit.
     shortest_wait: Option<Duration>,
 }
 
-/// Asks the counters until `deadline` for a permit that lasts for `lifetime`: those of this
-/// process's zone first, and one that is late last.
+/// Requests a permit valid for `lifetime` from the counters until `deadline`: first from those in
+/// this process's zone, last from one that is already late.
 pub(super) async fn request_permit(
     engine: &Arc<Engine>,
     tenant: &TenantName,
@@ -129,7 +129,7 @@
         None
     }
 
-    /// Asks `shard`, and waits for any answer.
+    /// Sends a request to `shard` and waits for a reply from any shard.
     async fn send_and_wait(&mut self, shard: Shard) -> Option<Permit> {
         let request = spawn_request(self.engine, shard, self.tenant);
         self.pending.push(request);
@@ -147,7 +147,7 @@
                 }
                 return None;
             };
-            // A question ends without an answer only where the process stops.
+            // The sender is dropped without a reply only during process shutdown.
             let Ok(answer) = answer else { return None };
             if let Some(permit) = self.accept(&answer) {
                 return Some(permit);
@@ -158,7 +158,7 @@
         }
     }
 
-    /// An answer that has come in while this process was slow itself.
+    /// Returns a reply that arrived while this process was too slow to read it in time.
     async fn poll_pending_reply(
         &mut self,
     ) -> Option<Result<ShardReply, oneshot::error::RecvError>> {
@@ -167,8 +167,8 @@
         at_once.await.ok().flatten()
     }
 
-    /// Waits for the answers that are late, which may be those of successors, and asks one shard
-    /// more that was late before unless others have said that they have none left.
+    /// Waits for late replies, which may come from successors. Also sends a request to the
+    /// skipped shard, unless other shards have reported that they are exhausted.
     async fn await_late_replies(&mut self) -> Option<Permit> {
         let is_exhausted = self.shortest_wait.is_some();
         let asks = !is_exhausted && self.pending.len() < PENDING_REQUESTS_MAX;
@@ -185,7 +185,7 @@
         None
     }
 
-    /// The permit of an answer, if it grants one that is good still.
+    /// Returns the permit granted by `answer` if it is still valid.
     fn accept(&mut self, answer: &ShardReply) -> Option<Permit> {
         let now = Instant::now();
         match answer.reply {
@@ -209,9 +209,9 @@
     }
 }
 
-/// Asks for one permit of `shard` in a task of its own, which goes on to the candidates where
-/// the counter is silent, also when nobody waits for the answer any more: they are to look at
-/// the lease.
+/// Requests one permit of `shard` in a separate task. If the counter does not respond, the task
+/// goes on to query the other candidates even if nobody waits for the reply any more, so that
+/// they check the lease.
 fn spawn_request(
     engine: &Arc<Engine>,
     shard: Shard,
@@ -233,14 +233,14 @@
             sent_at,
             reply,
         };
-        // The operation may have found its permit elsewhere: this one lapses.
+        // The operation may have received a permit from another shard; this one expires unused.
         let _ = tx.send(answer);
     });
     rx
 }
 
-/// Asks the process that counts `shard`, and where it is silent all other candidates at once;
-/// when the one that has answered was asked, and what it said.
+/// Queries the process that counts `shard` and, if it does not respond, all other candidates
+/// concurrently. Returns the reply and the time at which its request was sent.
 async fn query_candidates(
     engine: &Engine,
     shard: Shard,
@@ -267,9 +267,9 @@
     (Instant::now(), PermitReply::NotCounted)
 }
 
-/// Asks the process at `address`; `None` where it does not count `shard`, or does not answer.
-/// No permit is taken once nobody waits for it: with a permit for each question that goes on,
-/// the processes that find a successor would use up what it begins with.
+/// Queries the process at `address`. Returns `None` if it does not count `shard` or does not
+/// respond. Takes no permit once nobody waits for it: if every abandoned request took one, the
+/// processes that locate a successor would use up its initial tokens.
 async fn query_counter(
     engine: &Engine,
     address: SocketAddr,
--- a/crates/engine/src/rate/shard_health.rs
+++ b/crates/engine/src/rate/shard_health.rs
@@ -1,4 +1,4 @@
-//! How the counters of the shards answer this process.
+//! Tracks which shards' counters respond to this process.
 
 use super::SHARD_COUNT;
 use super::counter::Shard;
@@ -6,46 +6,49 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// First pause before a lost shard is asked for again: after a restart of all processes leases
-/// are taken over within some 100 ms.
+/// Initial pause before a lost shard is probed again. After a restart of all processes, leases are
+/// taken over within about 100 ms.
 const LOST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause: what is left of a limit serves callers meanwhile.
+/// Maximum pause. Meanwhile callers are served from the shares of the other shards.
 const LOST_PAUSE_MAX: Duration = Duration::from_millis(400);
 
-/// How one shard's counter answers.
+/// Health of one shard's counter.
 #[derive(Debug, Clone, Copy, Default)]
 enum CounterHealth {
-    /// As it should.
+    /// It responds in time.
     #[default]
     Answers,
-    /// A question is under way for longer than it should; `pause` is the last one, if the shard
+    /// A request is pending for longer than expected. `pause` is the previous pause if the shard
     /// was lost before.
     Late { pause: Option<Duration> },
-    /// All candidates were asked, and none counts it.
+    /// All candidates were queried, and none of them counts the shard.
     Lost { until: Instant, pause: Duration },
 }
 
-/// What an operation does about a shard.
+/// How an operation treats a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Action {
-    /// It asks, and waits for the answer.
+    /// Sends a request and waits for the reply.
     Wait,
-    /// It asks for the sake of those that follow, and waits for another shard's answer.
+    /// Sends a request to update the shard's health for later operations, but goes on to another
+    /// shard without waiting.
     Probe,
-    /// It asks only where no other shard grants: somebody asks already.
+    /// Sends a request only if no other shard grants a permit, because another operation's request
+    /// is already pending.
     Skip,
-    /// It does not ask.
+    /// Sends no request.
     Ignore,
 }
 
-/// How all shards answer.
+/// Health of all shards' counters.
 #[derive(Debug, Default)]
 pub(super) struct ShardHealth {
     shards: Mutex<[CounterHealth; SHARD_COUNT]>,
 }
 
 impl ShardHealth {
-    /// What to do about `shard` now. Only one operation is told to probe it.
+    /// Returns how an operation treats `shard` now. Only one operation at a time probes a lost
+    /// shard.
     pub(super) fn next_action(&self, shard: Shard, now: Instant) -> Action {
         let mut shards = self.lock();
         match shards[shard] {
@@ -59,7 +62,7 @@
         }
     }
 
-    /// Notes that an answer takes longer than it should.
+    /// Records that a reply takes longer than expected.
     pub(super) fn note_late(&self, shard: Shard) {
         let mut shards = self.lock();
         if let CounterHealth::Answers = shards[shard] {
@@ -67,12 +70,13 @@
         }
     }
 
-    /// Notes that the counter has answered.
+    /// Records that the counter has replied.
     pub(super) fn note_answer(&self, shard: Shard) {
         self.lock()[shard] = CounterHealth::Answers;
     }
 
-    /// Notes that nobody was found that counts `shard`. The pause doubles while it stays lost.
+    /// Records that no process was found that counts `shard`. The pause doubles while the shard
+    /// stays lost.
     pub(super) fn note_lost(&self, shard: Shard, now: Instant) {
         let mut shards = self.lock();
         let pause = match shards[shard] {
--- a/crates/engine/src/rate/shard_lease.rs
+++ b/crates/engine/src/rate/shard_lease.rs
@@ -1,4 +1,4 @@
-//! Pursuing the leases of the shards.
+//! Acquires, renews and releases the leases of the rate-limit shards.
 
 use super::SHARD_COUNT;
 use super::counter::{Shard, rate_bounds};
@@ -17,45 +17,44 @@
 };
 use tokio::time::{Instant, sleep};
 
-/// How long a lease lasts, and how much earlier its holder stops relying on it. What is left
-/// of it just before a renewal is longer than three fifths of the usual time in which a
-/// removed credential must be known: until then callers of a process that has lost the store
-/// are served.
+/// Lease duration, and the margin by which the holder stops relying on it earlier. What remains of
+/// a lease just before a renewal is longer than three fifths of the usual bound within which a
+/// credential revocation must be known, because a process that has lost the store serves its
+/// callers for that long.
 const LEASE_SETTINGS: LeaseSettings = LeaseSettings {
     duration: Duration::from_millis(5_300),
     margin: Duration::from_millis(100),
 };
-/// Interval of renewals: three calls a second for the whole fleet.
+/// Renewal interval, which causes three store calls a second for the whole fleet.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Time without an answer to a renewal after which the other candidates are warned: many times
-/// what one takes.
+/// Time without a response to a renewal after which the other candidates are warned, many times
+/// the usual response time.
 const RENEWAL_WARNING_DELAY: Duration = Duration::from_millis(300);
-/// Longest interval in which a candidate that is asked for permits looks at the lease of
-/// another: no shorter than that of renewals, before which it would see nothing new.
+/// Maximum interval at which a candidate whose counting was requested checks another holder's
+/// lease. Not shorter than the renewal interval, since the record doesn't change between renewals.
 const REQUESTED_CHECK_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Interval in which the first candidate looks at the lease of another although nobody asks
-/// it: whoever asks finds the holder by itself.
+/// Interval at which the first candidate checks another holder's lease without a request. It can
+/// be long because processes that need permits find the holder by themselves.
 const UNREQUESTED_CHECK_INTERVAL: Duration = Duration::from_secs(20);
-/// Interval in which a process asks itself whether it is to pursue a lease.
+/// Interval at which a process that doesn't hold the lease checks whether it should acquire it.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause at the first start of a fleet, while its processes come to know one another: each
-/// would be the first candidate for a moment, and ask the store.
+/// Pause at the first start of a fleet, while its processes discover one another. Without it, each
+/// process would briefly consider itself the first candidate and call the store.
 const FIRST_START_PAUSE: Duration = Duration::from_secs(2);
-/// Time without a renewal after which a counter is suspected though nobody asks for its
-/// permits: callers ask another shard first, and would miss this one only once that is
-/// exhausted.
+/// Time without a renewal after which a counter is suspected even if nobody requested its permits.
+/// Callers query other shards first, and would miss this one only once those are exhausted.
 const OVERDUE_AFTER: Duration = Duration::from_millis(2_500);
-/// Pause before a counter that has answered is suspected again.
+/// Minimum interval between two checks whether a suspected counter responds.
 const SUSPECT_INTERVAL: Duration = Duration::from_millis(700);
-/// Time by which each further candidate lets the one before it go first.
+/// Delay per rank, so that candidates try to acquire the lease one after another.
 const CANDIDATE_STAGGER: Duration = Duration::from_millis(150);
-/// Pause after a renewal that failed: two calls a second of each counter while the store is
-/// away, and many renewals' worth of time is left.
+/// Pause after a failed renewal. It causes up to two calls a second per counter while the store is
+/// unavailable, and leaves time for many attempts before the lease expires.
 const RENEWAL_RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Pause after a failure.
+/// Pause after other failures, and the range of the random jitter.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The clock that the counters' leases are dated by.
+/// Clock by which the counters' leases are dated.
 struct CounterClock(Arc<Engine>);
 
 impl Clock for CounterClock {
@@ -64,28 +63,28 @@
     }
 }
 
-/// Pursues the shards' leases until the process leaves; returns at once where no rates are
-/// limited.
+/// Runs the lease tasks of all shards until the process shuts down. Returns immediately if rate
+/// limiting is disabled.
 pub async fn run(engine: &Arc<Engine>) {
     if rate_bounds(engine).is_some() {
         join_all((0..SHARD_COUNT).map(|shard| run_shard(engine, shard))).await;
     }
 }
 
-/// One process's part in the counting of one shard.
+/// State of one process's lease task for one shard.
 struct ShardLeaseTask {
     shard: Shard,
     candidate: LeaseCandidate,
-    /// When the first candidate looks at the lease although nobody asks it.
+    /// When the first candidate next checks the lease without a request.
     next_check_at: Instant,
-    /// Not before this moment can the lease of another be free, as far as is known.
+    /// Earliest time at which the lease of another holder can be free, as far as is known.
     earliest_free_at: Instant,
-    /// The lease as its counter has told it, since this process looked at it: it is taken over
-    /// then without anybody asking for permits.
+    /// Lease announced by its holder since this process last read it from the store. Once it has
+    /// expired, the shard is taken over without a request.
     announced: Option<LeaseRecord>,
-    /// Not before this moment is it asked again whether the counter answers.
+    /// Earliest time of the next check whether a suspected counter responds.
     next_suspect_at: Instant,
-    /// When the counter counts as overdue with its next renewal.
+    /// Time from which the counter's next renewal is overdue.
     overdue_at: Instant,
 }
 
@@ -131,8 +130,8 @@
 }
 
 impl ShardLeaseTask {
-    /// Does what the candidate of `rank` has to do now; returns how long to wait before the
-    /// next time.
+    /// Performs the next step of the candidate with `rank`. Returns the pause until the following
+    /// step.
     async fn step(&mut self, engine: &Arc<Engine>, rank: usize) -> Duration {
         if let Some(record) = engine.counters().take_announced(self.shard) {
             let stagger =
@@ -153,9 +152,9 @@
         }
     }
 
-    /// Whether the candidate of `rank` is to try to acquire the lease now: its counter has told
-    /// of no renewal for a whole lease, or processes ask this one for permits; the first one
-    /// also looks by itself.
+    /// Whether the candidate with `rank` should try to acquire the lease now: the holder has
+    /// announced no renewal for a whole lease duration, or other processes have requested a
+    /// counter. The first candidate also checks periodically.
     fn is_due(&self, engine: &Engine, rank: usize) -> bool {
         let now = Instant::now();
         let is_check_due = rank == 0 && now >= self.next_check_at;
@@ -171,7 +170,7 @@
                 announce_lease(engine, self.shard, renewed.record()).await;
                 RENEWAL_INTERVAL
             }
-            // Nobody else can have taken it while the store answers nobody.
+            // No other process can have acquired the lease while the store is unavailable.
             Err(LeaseError::Store(_) | LeaseError::Lapsed) => {
                 warn_candidates(engine, self.shard).await;
                 jittered(RENEWAL_RETRY_PAUSE)
@@ -184,7 +183,7 @@
         }
     }
 
-    /// Tries once to take the lease over.
+    /// Tries once to acquire the lease.
     async fn acquire(&mut self, engine: &Arc<Engine>) -> Duration {
         let acquired = self.candidate.try_acquire().await;
         let now = Instant::now();
@@ -213,10 +212,10 @@
         }
     }
 
-    /// The lease of a counter that seems to be lost: others have asked for permits here, since
-    /// it does not answer them, or it has told of no renewal; and it does not answer this process
-    /// either. `None` too where a successor would have nothing to grant before the lease has
-    /// lapsed.
+    /// Returns the lease of a counter that appears to have failed: other processes have requested
+    /// its permits here because it does not respond to them, or it has announced no renewal, and it
+    /// does not respond to this process either. Also `None` if a successor would have nothing to
+    /// grant before the lease has expired.
     async fn suspect(&mut self, engine: &Engine) -> Option<LeaseRecord> {
         let now = Instant::now();
         let is_requested = engine.counters().is_requested(self.shard, now);
@@ -237,14 +236,18 @@
         self.announced.clone().filter(|_| !answers)
     }
 
-    /// Takes the lease from the counter that has told `suspect`. The buckets begin with tokens,
-    /// which are granted at once; they are filled once the other has surely stopped.
+    /// Takes the lease over from the counter that announced `suspect`. The initial tokens of the
+    /// buckets can be granted immediately; refilling starts once the previous counter has certainly
+    /// stopped.
     async fn take_over(&mut self, engine: &Arc<Engine>, suspect: &LeaseRecord) -> Duration {
         let taken = match self.candidate.take_over(suspect).await {
             Ok(Some(taken)) => taken,
             Ok(None) => return POLL_INTERVAL,
             Err(error) => {
-                log::warn!("shard {} was not taken over: {error}", self.shard);
+                log::warn!(
+                    "failed to take over rate-limit shard {}: {error}",
+                    self.shard
+                );
                 return jittered(RETRY_PAUSE);
             }
         };
@@ -270,24 +273,23 @@
             released: true,
             ..lease.record().clone()
         };
-        // What is not given back lapses.
+        // A lease that can't be released expires by itself.
         if self.candidate.release(lease).await.is_ok() {
             announce_lease(engine, self.shard, &released).await;
         }
     }
 }
 
-/// Tells the other candidates of a lease that was acquired, renewed or given back, so that they
-/// know how long it lasts without a call of the store: a successor comes as soon as it lapses, though
-/// nobody asks it.
+/// Announces a lease that was acquired, renewed or released to the other candidates. They know
+/// without a store call when it expires, so a successor takes over then without a request.
 async fn announce_lease(engine: &Engine, shard: Shard, record: &LeaseRecord) {
     let addresses = engine.homes().counter_addresses(shard);
     let tell = |link: &Link| link.tell_lease(shard, record);
     engine.homes().links().tell_each(addresses, tell).await;
 }
 
-/// Renews a lease. A store that is silent to this process only is found out by the call's
-/// time-out, which is long: the others are warned before.
+/// Renews a lease. If the store is unreachable from this process only, the call fails after a long
+/// timeout; the other candidates are warned before that.
 async fn renew(
     engine: &Engine,
     shard: Shard,
@@ -303,8 +305,8 @@
     renewed
 }
 
-/// Tells the other candidates that the lease may be lost: they may take it once they have
-/// seen for its whole duration that it is not renewed, so they had better begin to look.
+/// Warns the other candidates that the lease may be lost. They may acquire it only after they have
+/// observed for its whole duration that it is not renewed, so they should start to observe it.
 async fn warn_candidates(engine: &Engine, shard: Shard) {
     for address in engine.homes().counter_addresses(shard) {
         if let Some(link) = engine.homes().links().first_usable(&[address]).await {
@@ -313,10 +315,10 @@
     }
 }
 
-/// Whether a successor of the holding of `record` may begin with tokens: it has lasted for a
-/// window at least, and for a lease besides where the counter before it might act as long.
-/// Then no window holds both what was granted before that holding and what the successor begins
-/// with.
+/// Whether a successor to the tenure in `record` may start with initial tokens. The tenure must
+/// have lasted for at least one window, plus a lease duration if the previous counter may have
+/// acted for that long. Then no window contains both permits granted before that tenure and the
+/// successor's initial tokens.
 fn successor_has_initial_tokens(engine: &Engine, record: &LeaseRecord) -> bool {
     let window = rate_bounds(engine).map_or(Duration::MAX, |bounds| bounds.window);
     let shared = match record.taken_early {
@@ -326,8 +328,8 @@
     record.held >= window.saturating_add(shared)
 }
 
-/// For how long the counter before the holding of `record` may act still, where that was taken
-/// early, and is acquired by `own` before it has lapsed.
+/// Returns how much longer the counter before the tenure in `record` may still act, if that tenure
+/// was taken early and `own` acquires the lease before it has expired.
 fn remaining_overlap(record: &LeaseRecord, own: &str) -> Duration {
     let is_lapsed = !record.released && record.holder.as_str() != own;
     match record.taken_early && !is_lapsed {
