--- a/crates/engine/src/evacuation/schedule.rs
+++ b/crates/engine/src/evacuation/schedule.rs
@@ -193,14 +193,14 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use stilequay_engine::evacuation::share_elsewhere;
+/// use stilequay_engine::evacuation::ramp_share;
 /// use tokio::time::Instant;
 /// let began = Instant::now();
 /// let until = began + Duration::from_secs(2);
-/// assert_eq!(share_elsewhere(began, until, began), 0.0);
-/// assert_eq!(share_elsewhere(began, until, began + Duration::from_secs(1)), 0.5);
-/// assert_eq!(share_elsewhere(began, until, until), 1.0);
-/// assert_eq!(share_elsewhere(began, began, began), 1.0);
+/// assert_eq!(ramp_share(began, until, began), 0.0);
+/// assert_eq!(ramp_share(began, until, began + Duration::from_secs(1)), 0.5);
+/// assert_eq!(ramp_share(began, until, until), 1.0);
+/// assert_eq!(ramp_share(began, began, began), 1.0);
 /// ```
 pub fn ramp_share(began: Instant, until: Instant, now: Instant) -> f64 {
     let whole = until.saturating_duration_since(began);
--- a/crates/engine/src/home/placement.rs
+++ b/crates/engine/src/home/placement.rs
@@ -67,8 +67,8 @@
     /// ```
     /// use stilequay_engine::home::placement::Capacity;
     /// let member = Capacity { connections: 34, slots: Some(3) };
-    /// assert!(member.suffices_for(6));
-    /// assert!(!member.suffices_for(67));
+    /// assert!(member.allows_direct_connections(6));
+    /// assert!(!member.allows_direct_connections(67));
     /// ```
     pub fn allows_direct_connections(self, processes: usize) -> bool {
         let connections = processes.saturating_mul(MIN_PROCESS_CONNECTIONS) <= self.connections;
