--- a/crates/engine/src/session/mod.rs
+++ b/crates/engine/src/session/mod.rs
@@ -110,14 +110,14 @@
 
     /// When an open transaction that rests is to be ended.
     pub fn idle_deadline(&self) -> Option<Instant> {
-        let rests_since = self.transaction.as_ref()?.rests_since()?;
+        let idle_since = self.transaction.as_ref()?.idle_since()?;
         let limit = self.engine.configuration()?.transaction_idle?;
-        Some(rests_since + limit)
+        Some(idle_since + limit)
     }
 
     /// Ends an open transaction that has rested too long, or for which there is no time
     /// left. The caller is told at its next statement.
-    pub fn end_transaction(&mut self, reason: FailureReason) {
+    pub fn abort_transaction(&mut self, reason: FailureReason) {
         if let Some(transaction) = &mut self.transaction {
             transaction.fail(Failure::not_run(reason));
         }
@@ -156,9 +156,9 @@
             Statement::Commit => {
                 self.authorize(request)?;
                 trace.authorized(self.tenant_name());
-                self.end(request, true, trace).await
+                self.finish_transaction(request, true, trace).await
             }
-            Statement::Rollback => self.end(request, false, trace).await,
+            Statement::Rollback => self.finish_transaction(request, false, trace).await,
             Statement::Read { text } => self.run_text(request, Access::Read, text, trace).await,
             Statement::Write { text } => self.run_text(request, Access::Write, text, trace).await,
             Statement::Execute { name, arguments } => {
@@ -223,7 +223,7 @@
             Err(failure) => transaction.fail(failure),
         }
         let tenant = self.tenant.as_ref().map(|tenant| &tenant.name);
-        if transaction.is_of_another(tenant) {
+        if transaction.belongs_to_other_tenant(tenant) {
             transaction.fail(Failure::not_run(FailureReason::TransactionLost));
         }
         self.end_outside_regions();
@@ -237,7 +237,7 @@
             return;
         };
         let residency = self.residency(transaction.route());
-        let is_allowed = transaction.is_allowed(&self.engine, &residency);
+        let is_allowed = transaction.may_continue(&self.engine, &residency);
         if let (false, Some(transaction)) = (is_allowed, &mut self.transaction) {
             transaction.fail(outside_home_regions());
         }
--- a/crates/engine/src/session/transaction/mod.rs
+++ b/crates/engine/src/session/transaction/mod.rs
@@ -26,7 +26,7 @@
     group: Arc<Group>,
     read_only: bool,
     began: Instant,
-    rests_since: Instant,
+    idle_since: Instant,
     stage: Stage,
     /// On whose behalf it was opened at its member.
     tenant: Option<TenantName>,
@@ -40,7 +40,7 @@
     /// It is open at a member.
     Open(OpenTransaction),
     /// It was ended, and the caller has not been told yet.
-    Ended(Failure),
+    Aborted(Failure),
     /// It has failed, and the caller knows.
     Failed,
 }
@@ -70,12 +70,12 @@
     }
 
     /// Whether it is open on behalf of another than `tenant`.
-    pub(super) fn is_of_another(&self, tenant: Option<&TenantName>) -> bool {
+    pub(super) fn belongs_to_other_tenant(&self, tenant: Option<&TenantName>) -> bool {
         matches!(self.stage, Stage::Open(_)) && self.tenant.as_ref() != tenant
     }
 
     /// Whether it may stay where it is open, if `residency` are the regions that bind.
-    pub(super) fn is_allowed(&self, engine: &Engine, residency: &Residency) -> bool {
+    pub(super) fn may_continue(&self, engine: &Engine, residency: &Residency) -> bool {
         let Stage::Open(open) = &self.stage else {
             return true;
         };
@@ -83,16 +83,16 @@
     }
 
     /// Since when it has been resting, unless it has ended.
-    pub(super) fn rests_since(&self) -> Option<Instant> {
+    pub(super) fn idle_since(&self) -> Option<Instant> {
         match self.stage {
-            Stage::Pending | Stage::Open(_) => Some(self.rests_since),
-            Stage::Ended(_) | Stage::Failed => None,
+            Stage::Pending | Stage::Open(_) => Some(self.idle_since),
+            Stage::Aborted(_) | Stage::Failed => None,
         }
     }
 
     /// Ends it; the caller is told `failure` at its next statement.
     pub(super) fn fail(&mut self, failure: Failure) {
-        if let Stage::Open(open) = std::mem::replace(&mut self.stage, Stage::Ended(failure)) {
+        if let Stage::Open(open) = std::mem::replace(&mut self.stage, Stage::Aborted(failure)) {
             open.connection.roll_back();
         }
     }
@@ -130,7 +130,7 @@
             group,
             read_only,
             began: received,
-            rests_since: Instant::now(),
+            idle_since: Instant::now(),
             stage: Stage::Pending,
             tenant: None,
         });
@@ -152,22 +152,22 @@
         let stage = std::mem::replace(&mut transaction.stage, Stage::Failed);
         let outcome = match stage {
             Stage::Failed => Err(Failure::rejected(FailureReason::OutOfPlace)),
-            Stage::Ended(failure) => Err(failure),
+            Stage::Aborted(failure) => Err(failure),
             Stage::Pending => {
-                self.open_with(&mut transaction, request, access, Some(work), trace)
+                self.open_transaction(&mut transaction, request, access, Some(work), trace)
                     .await
             }
             Stage::Open(open) => {
-                run_at_place(&mut transaction, open, request, access, &work, trace).await
+                run_in_open(&mut transaction, open, request, access, &work, trace).await
             }
         };
-        transaction.rests_since = Instant::now();
+        transaction.idle_since = Instant::now();
         self.transaction = Some(transaction);
         outcome
     }
 
     /// Commits or rolls back.
-    pub(super) async fn end(
+    pub(super) async fn finish_transaction(
         &mut self,
         request: &Request,
         commit: bool,
@@ -179,7 +179,7 @@
         trace.routed(&self.engine, &transaction.route);
         let mut stage = std::mem::replace(&mut transaction.stage, Stage::Failed);
         if commit && matches!(stage, Stage::Pending) {
-            self.open_with(&mut transaction, request, Access::Read, None, trace)
+            self.open_transaction(&mut transaction, request, Access::Read, None, trace)
                 .await?;
             stage = std::mem::replace(&mut transaction.stage, Stage::Failed);
         }
@@ -189,7 +189,7 @@
                 open.connection.roll_back();
                 Ok(Completion::default())
             }
-            (Stage::Ended(failure), true) => Err(failure),
+            (Stage::Aborted(failure), true) => Err(failure),
             (_, true) => Err(Failure::not_run(FailureReason::TransactionLost)),
             (_, false) => Ok(Completion::default()),
         }
@@ -245,7 +245,7 @@
 }
 
 /// Runs a later statement of an open transaction.
-async fn run_at_place(
+async fn run_in_open(
     transaction: &mut Transaction,
     mut open: OpenTransaction,
     request: &Request,
--- a/crates/engine/src/session/transaction/opening.rs
+++ b/crates/engine/src/session/transaction/opening.rs
@@ -22,14 +22,14 @@
 
 /// Members where a transaction may be opened, the best first.
 #[derive(Default)]
-struct Places {
+struct OpenCandidates {
     targets: Vec<Target>,
     /// The leader, where only it will do.
     leader: Option<UsableLeader>,
 }
 
 /// A member chosen for a transaction, and the connection to it.
-struct Place {
+struct ChosenMember {
     target: Target,
     leader: Option<UsableLeader>,
     connection: PooledConnection,
@@ -38,7 +38,7 @@
 impl Session {
     /// Opens the transaction at a member and runs its first statement there. Until that
     /// has completed nothing can be kept, so another member may be tried.
-    pub(super) async fn open_with(
+    pub(super) async fn open_transaction(
         &self,
         transaction: &mut Transaction,
         request: &Request,
@@ -56,13 +56,13 @@
             };
             let residency = self.residency(&transaction.route);
             check_route(&self.engine, &transaction.group, consistency, &residency)?;
-            let mut places = self.places(transaction, limits, trace).await?;
+            let mut candidates = self.open_candidates(transaction, limits, trace).await?;
             let mut reason = FailureReason::NoLeader;
-            while !places.targets.is_empty() && Instant::now() < limits.offer {
+            while !candidates.targets.is_empty() && Instant::now() < limits.offer {
                 let drawn = self.permit(permit, limits).await?;
                 permit = Some(drawn);
                 let until = limits.under(drawn).offer;
-                let offered = first_connection(&self.engine, &places.targets, &claim, until);
+                let offered = first_connection(&self.engine, &candidates.targets, &claim, until);
                 let Offer { index, connection } = match offered.await {
                     Ok(offer) => offer,
                     Err(declined) => {
@@ -70,9 +70,9 @@
                         break;
                     }
                 };
-                let place = Place {
-                    target: places.targets.remove(index),
-                    leader: places.leader.clone(),
+                let chosen = ChosenMember {
+                    target: candidates.targets.remove(index),
+                    leader: candidates.leader.clone(),
                     connection,
                 };
                 let first = FirstStatement {
@@ -81,7 +81,7 @@
                     work: work.as_ref(),
                     limits,
                 };
-                match open_at(transaction, place, &claim, first, trace).await {
+                match open_on_member(transaction, chosen, &claim, first, trace).await {
                     Attempt::Decided(outcome) => return outcome,
                     Attempt::NotRun(latest) => reason = latest,
                 }
@@ -95,18 +95,18 @@
     /// # Errors
     ///
     /// [`Failure`] where those that could stand in no home region.
-    async fn places(
+    async fn open_candidates(
         &self,
         transaction: &Transaction,
         limits: StatementLimits,
         trace: &mut RequestTrace,
-    ) -> Result<Places, Failure> {
+    ) -> Result<OpenCandidates, Failure> {
         let (route, group) = (&transaction.route, &transaction.group);
         if transaction.read_only {
             let targets = self
                 .read_targets(group, route, transaction.began, limits.offer, trace)
                 .await?;
-            return Ok(Places {
+            return Ok(OpenCandidates {
                 targets,
                 leader: None,
             });
@@ -115,7 +115,7 @@
         check_leader_region(&self.engine, group, &residency)?;
         let until = limits.offer;
         let Some(writable) = access::writable_leader(group, until).await else {
-            return Ok(Places::default());
+            return Ok(OpenCandidates::default());
         };
         let leased = access::leased_leader(&self.engine, group, route.max_staleness, until).await;
         let leader = leased.filter(|leader| *leader == writable);
@@ -123,7 +123,7 @@
             Some(leader) => leader_target(&self.engine, leader, &residency)?,
             None => None,
         };
-        Ok(Places {
+        Ok(OpenCandidates {
             targets: target.into_iter().collect(),
             leader,
         })
@@ -140,18 +140,18 @@
 }
 
 /// Opens the transaction at a member and runs its first statement there.
-async fn open_at(
+async fn open_on_member(
     transaction: &mut Transaction,
-    place: Place,
+    chosen: ChosenMember,
     claim: &Claim,
     first: FirstStatement<'_>,
     trace: &mut RequestTrace,
 ) -> Attempt<Completion> {
-    let Place {
+    let ChosenMember {
         target,
         leader,
         mut connection,
-    } = place;
+    } = chosen;
     let pool = target.pool();
     let member = pool.member().id.clone();
     let begin = Command::Begin {
--- a/crates/engine/tests/sessions.rs
+++ b/crates/engine/tests/sessions.rs
@@ -141,7 +141,7 @@
     assert!(client.session.idle_deadline().is_some());
     client
         .session
-        .end_transaction(FailureReason::IdleTransaction);
+        .abort_transaction(FailureReason::IdleTransaction);
     assert_eq!(client.session.idle_deadline(), None);
     let failure = client.commit().await.outcome.expect_err("ended");
     assert_eq!(failure.reason, FailureReason::IdleTransaction);
