--- a/crates/daemon/src/app/home/routing.rs
+++ b/crates/daemon/src/app/home/routing.rs
@@ -281,7 +281,7 @@
             latency_ms: MEMBER_LATENCY_MS,
             in_use: pool.as_ref().map_or(0, |pool| pool.in_use()),
             distance: self.distance_of(member),
-            is_doubtful: pool.is_some_and(|pool| pool.is_saturated()),
+            may_refuse: pool.is_some_and(|pool| pool.is_saturated()),
             ..MemberCost::default()
         };
         cost.total_ms()
--- a/crates/engine/src/home/unit.rs
+++ b/crates/engine/src/home/unit.rs
@@ -8,7 +8,7 @@
 use crate::link::frame::{HomeCommand, HomeOutcome, NotSent, RunRequest};
 use crate::pool::{AcquireError, Claim, MemberPool, PooledConnection, RunError, Work};
 use crate::ports::{Answer, Command, Refusal, RefusalKind};
-use crate::routing::is_past_use;
+use crate::routing::is_use_expired;
 use crate::statement::{Access, TransactionState};
 use bytes::Bytes;
 use std::sync::Arc;
@@ -251,7 +251,7 @@
     let known = directory.member(member);
     let unknown = || NotSent::UnknownMember;
     let member: &Arc<Member> = known.ok_or_else(unknown)?;
-    if is_past_use(engine, member.state, now) {
+    if is_use_expired(engine, member.state, now) {
         return Err(NotSent::Unreachable("the member is leaving".to_owned()));
     }
     Ok(engine.pool(member))
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -29,7 +29,7 @@
 /// What a connection in use here stands for, as a share of one statement's latency.
 const IN_USE_SHARE: f64 = 0.5;
 /// A member that may refuse.
-const DOUBTFUL_MS: f64 = 1_000.0;
+const MAY_REFUSE_MS: f64 = 1_000.0;
 /// A member that is leaving.
 const LEAVING_MS: f64 = 10_000.0;
 /// A member that did not answer.
@@ -49,7 +49,7 @@
     /// How much is used of what may be sent to it while it is cold; zero where it is not.
     pub slow_start_used: f64,
     /// It may refuse: it is crowded, or lacks what has to be seen.
-    pub is_doubtful: bool,
+    pub may_refuse: bool,
     /// It is leaving.
     pub is_leaving: bool,
     /// It did not answer lately.
@@ -71,17 +71,17 @@
     /// assert!(farther.total_ms() < crowded.total_ms());
     /// ```
     pub fn total_ms(&self) -> f64 {
-        let waiting = 1.0 + self.in_use as f64 * IN_USE_SHARE;
-        let extra = [
+        let load_factor = 1.0 + self.in_use as f64 * IN_USE_SHARE;
+        let penalties = [
             (self.is_leader, LEADER_MS),
-            (self.is_doubtful, DOUBTFUL_MS),
+            (self.may_refuse, MAY_REFUSE_MS),
             (self.is_leaving, LEAVING_MS),
             (self.is_unreachable, UNREACHABLE_MS),
         ];
-        let extra = extra.iter().filter(|(applies, _)| *applies);
-        let extra_ms: f64 = extra.map(|(_, ms)| ms).sum();
+        let penalties = penalties.iter().filter(|(applies, _)| *applies);
+        let penalties_ms: f64 = penalties.map(|(_, ms)| ms).sum();
         let cold_ms = self.slow_start_used * COLD_MS;
-        self.latency_ms * waiting + distance_ms(self.distance) + cold_ms + extra_ms
+        self.latency_ms * load_factor + distance_ms(self.distance) + cold_ms + penalties_ms
     }
 }
 
@@ -99,7 +99,7 @@
     /// Its connections.
     pub pool: Allowed<Arc<MemberPool>>,
     /// Whether nothing speaks against its running the read at once.
-    pub is_likely: bool,
+    pub is_preferred: bool,
 }
 
 /// The members that may run a read that needs `after`, those that `residency` allows, the
@@ -115,7 +115,7 @@
     let members = engine.directory().members_of(group.name());
     let usable = members
         .into_iter()
-        .filter(|member| may_be_used(engine, member, now));
+        .filter(|member| is_usable(engine, member, now));
     let topology = &engine.settings().topology;
     let allowed = residency.select(topology, usable);
     let mut ranked: Vec<(f64, Allowed<Arc<MemberPool>>)> = allowed
@@ -132,21 +132,21 @@
     ranked
         .map(|(cost, pool)| ReadCandidate {
             pool,
-            is_likely: cost < DOUBTFUL_MS,
+            is_preferred: cost < MAY_REFUSE_MS,
         })
         .collect()
 }
 
 /// Whether statements of sessions may be sent to `member` at `now`.
-pub fn may_be_used(engine: &Engine, member: &Member, now: Instant) -> bool {
+pub fn is_usable(engine: &Engine, member: &Member, now: Instant) -> bool {
     let schedule = engine.evacuation_schedule();
     let may_send = schedule.check(&member.zone, Sender::Session, now).is_ok();
-    may_send && !is_past_use(engine, member.state, now)
+    may_send && !is_use_expired(engine, member.state, now)
 }
 
 /// Whether the next read is to avoid `member`, whose zone is being evacuated: more and more
 /// of them do, so that the members elsewhere have time to take them up.
-fn is_avoided(engine: &Engine, member: &Member, now: Instant) -> bool {
+fn should_avoid(engine: &Engine, member: &Member, now: Instant) -> bool {
     let share = engine
         .evacuation_schedule()
         .share_avoiding(&member.zone, now);
@@ -155,7 +155,7 @@
 
 /// Whether a member in `state` must not be used any more: that it leaves may have been
 /// known for too long, also to others only.
-pub fn is_past_use(engine: &Engine, state: MemberState, now: Instant) -> bool {
+pub fn is_use_expired(engine: &Engine, state: MemberState, now: Instant) -> bool {
     match state {
         MemberState::Ready | MemberState::Lapsed(_) => false,
         MemberState::Leaving(departure) | MemberState::Gone(departure) => {
@@ -173,17 +173,17 @@
     now: Instant,
 ) -> f64 {
     let health = pool.health();
-    let lacks = after.is_some_and(|position| health.is_lagging(position, now));
+    let is_lagging = after.is_some_and(|position| health.is_lagging(position, now));
     let slow_start_used = slow_start::used(engine, pool, now);
-    let is_used_up = slow_start_used >= 1.0 || health.is_paced(now);
+    let is_rate_exhausted = slow_start_used >= 1.0 || health.is_paced(now);
     let cost = MemberCost {
         slow_start_used,
         latency_ms: health.expected_latency_ms(now),
         in_use: pool.in_use(),
         distance: engine.settings().topology.distance(&pool.member().zone),
         is_leader,
-        is_doubtful: lacks || health.is_busy(now) || is_used_up,
-        is_leaving: !state.takes_work() || is_avoided(engine, pool.member(), now),
+        may_refuse: is_lagging || health.is_busy(now) || is_rate_exhausted,
+        is_leaving: !state.takes_work() || should_avoid(engine, pool.member(), now),
         is_unreachable: health.is_unreachable(now),
     };
     cost.total_ms()
--- a/crates/engine/src/session/offer.rs
+++ b/crates/engine/src/session/offer.rs
@@ -58,7 +58,7 @@
         if waiting.is_empty() {
             return Err(declined);
         }
-        let goes_on = next < targets.len() && targets[next].is_likely;
+        let goes_on = next < targets.len() && targets[next].is_preferred;
         tokio::select! {
             biased;
             Some((index, result)) = waiting.next() => match result {
--- a/crates/engine/src/session/target.rs
+++ b/crates/engine/src/session/target.rs
@@ -12,7 +12,7 @@
 use crate::pool::{AcquireError, Claim, MemberPool, PooledConnection};
 use crate::position::LogPosition;
 use crate::residency::{Allowed, Residency};
-use crate::routing::{ReadCandidate, is_past_use, may_be_used};
+use crate::routing::{ReadCandidate, is_usable, is_use_expired};
 use crate::verdict::{Failure, FailureReason};
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     /// The position that its log must hold; `None` at a leader whose term is leased.
     pub after: Option<LogPosition>,
     /// Whether nothing speaks against its running the statement at once.
-    pub is_likely: bool,
+    pub is_preferred: bool,
 }
 
 impl Target {
@@ -39,14 +39,14 @@
         Self {
             pool: candidate.pool,
             after: Some(after),
-            is_likely: candidate.is_likely,
+            is_preferred: candidate.is_preferred,
         }
     }
 
     /// The same member, where it is asked again.
     pub(super) fn again(&self) -> Self {
         Self {
-            is_likely: false,
+            is_preferred: false,
             ..self.clone()
         }
     }
@@ -115,7 +115,7 @@
     let Some(member) = directory.member(&leader.member) else {
         return Ok(None);
     };
-    if !may_be_used(engine, member, Instant::now()) {
+    if !is_usable(engine, member, Instant::now()) {
         return Ok(None);
     }
     let topology = &engine.settings().topology;
@@ -124,7 +124,7 @@
     Ok(Some(Target {
         pool: engine.session_pool(&member),
         after: None,
-        is_likely: true,
+        is_preferred: true,
     }))
 }
 
@@ -145,7 +145,7 @@
     let members = engine.directory().members_of(group.name());
     let usable: Vec<Arc<Member>> = members
         .into_iter()
-        .filter(|member| !is_past_use(engine, member.state, now))
+        .filter(|member| !is_use_expired(engine, member.state, now))
         .collect();
     let topology = &engine.settings().topology;
     let mut allowed = residency.select(topology, &usable);
--- a/crates/engine/tests/departures.rs
+++ b/crates/engine/tests/departures.rs
@@ -8,7 +8,7 @@
 use stilequay_engine::directory::{
     Departure, Directory, DirectoryChange, GONE_MEMORY, Member, MemberState,
 };
-use stilequay_engine::routing::is_past_use;
+use stilequay_engine::routing::is_use_expired;
 use support::Fleet;
 use tokio::time::{Instant, advance};
 
@@ -43,7 +43,7 @@
         MemberState::Leaving(departure),
         MemberState::Gone(departure),
     ] {
-        assert_eq!(is_past_use(engine, state, Instant::now()), expected);
+        assert_eq!(is_use_expired(engine, state, Instant::now()), expected);
     }
 }
 
@@ -138,7 +138,11 @@
     let lapsed = directory.member("a").map(|member| member.state);
     if lapsed.is_some_and(|state| state.takes_work()) {
         // It is used as before, starts no promotion and dates no departure.
-        assert!(!is_past_use(engine, lapsed.expect("one"), Instant::now()));
+        assert!(!is_use_expired(
+            engine,
+            lapsed.expect("one"),
+            Instant::now()
+        ));
         assert!(!directory.member("a").expect("one").is_gone());
     }
     advance(Duration::from_millis(later_ms)).await;
