--- a/crates/engine/src/session/limits.rs
+++ b/crates/engine/src/session/limits.rs
@@ -7,7 +7,7 @@
 
 /// Share of a route's time-out for which a request is held that no member was offered:
 /// a caller that is refused early can still be served elsewhere.
-const OFFER_SHARE: f64 = 0.42;
+const ACQUIRE_SHARE: f64 = 0.42;
 /// Share of a route's time-out after which a member's answer is given up.
 const ANSWER_SHARE: f64 = 0.58;
 
@@ -18,44 +18,44 @@
 const QUEUE_SHARE: f64 = 0.2;
 
 /// How long a request of `route` may wait in a queue that stands.
-pub fn queue_patience(route: &Route) -> Duration {
+pub fn max_queue_wait(route: &Route) -> Duration {
     route.objective.mul_f64(QUEUE_SHARE)
 }
 
 /// Moments that bound one statement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StatementLimits {
+pub struct StatementDeadlines {
     /// Until when a member must have been found.
-    pub offer: Instant,
+    pub acquire: Instant,
     /// Until when a member's answer is waited for.
     pub answer: Instant,
 }
 
-impl StatementLimits {
-    /// The limits of a statement of `route` that was read at `received`.
+impl StatementDeadlines {
+    /// The deadlines of a statement of `route` that was read at `received`.
     pub fn new(route: &Route, received: Instant) -> Self {
         let at = |share: f64| received + route.timeout.mul_f64(share);
         Self {
-            offer: at(OFFER_SHARE),
+            acquire: at(ACQUIRE_SHARE),
             answer: at(ANSWER_SHARE),
         }
     }
 
-    /// The limits of an operation that must be sent while `permit` is good.
-    pub fn under(self, permit: Permit) -> Self {
+    /// The deadlines of an operation that must be sent while `permit` is good.
+    pub fn within_permit(self, permit: Permit) -> Self {
         Self {
-            offer: permit
+            acquire: permit
                 .until
-                .map_or(self.offer, |until| self.offer.min(until)),
+                .map_or(self.acquire, |until| self.acquire.min(until)),
             ..self
         }
     }
 
-    /// The limits where no leader, nor how far its log has come, is to be learned of soon.
+    /// The deadlines where no leader, nor how far its log has come, is to be learned of soon.
     pub fn while_cut_off(self, route: &Route, received: Instant) -> Self {
         let held = received + route.objective.mul_f64(CUT_OFF_SHARE);
         Self {
-            offer: self.offer.min(held),
+            acquire: self.acquire.min(held),
             ..self
         }
     }
--- a/crates/engine/src/session/mod.rs
+++ b/crates/engine/src/session/mod.rs
@@ -14,7 +14,7 @@
 mod transaction;
 mod write;
 
-pub use limits::StatementLimits;
+pub use limits::StatementDeadlines;
 
 use crate::configuration::Route;
 use crate::engine::Engine;
@@ -29,7 +29,7 @@
 use crate::verdict::{Failure, FailureReason};
 use bytes::Bytes;
 use floor::SessionFloor;
-use limits::queue_patience;
+use limits::max_queue_wait;
 use std::collections::HashMap;
 use std::sync::Arc;
 use target::outside_home_regions;
@@ -278,12 +278,12 @@
         }
     }
 
-    /// The limits of a statement of `route` that was read at `received`.
-    fn limits(&self, route: &Route, group: &Group, received: Instant) -> StatementLimits {
-        let limits = StatementLimits::new(route, received);
+    /// The deadlines of a statement of `route` that was read at `received`.
+    fn deadlines(&self, route: &Route, group: &Group, received: Instant) -> StatementDeadlines {
+        let deadlines = StatementDeadlines::new(route, received);
         match access::is_cut_off(&self.engine, group, received) {
-            true => limits.while_cut_off(route, received),
-            false => limits,
+            true => deadlines.while_cut_off(route, received),
+            false => deadlines,
         }
     }
 
@@ -294,7 +294,7 @@
             tenant: self.tenant_name().cloned(),
             rank: route.priority,
             values: Arc::clone(&self.values),
-            patience: queue_patience(route),
+            patience: max_queue_wait(route),
         }
     }
 
@@ -307,13 +307,13 @@
     async fn permit(
         &self,
         known: Option<Permit>,
-        limits: StatementLimits,
+        deadlines: StatementDeadlines,
     ) -> Result<Permit, Failure> {
         if let Some(permit) = known.filter(|permit| permit.is_good(Instant::now())) {
             return Ok(permit);
         }
         match &self.tenant {
-            Some(tenant) => rate::permit::draw(&self.engine, tenant, limits.offer).await,
+            Some(tenant) => rate::permit::draw(&self.engine, tenant, deadlines.acquire).await,
             None => Ok(Permit::UNLIMITED),
         }
     }
--- a/crates/engine/src/session/read.rs
+++ b/crates/engine/src/session/read.rs
@@ -3,7 +3,7 @@
 
 use super::evacuated::check_route;
 use super::floor::FloorRequirement;
-use super::limits::StatementLimits;
+use super::limits::StatementDeadlines;
 use super::offer::{Declined, Offer, first_connection, why_declined};
 use super::target::{Target, check_home_regions, check_leader_region, leader_target};
 use super::trace::RequestTrace;
@@ -41,7 +41,7 @@
     work: Work,
     claim: Claim,
     group: Arc<Group>,
-    limits: StatementLimits,
+    deadlines: StatementDeadlines,
 }
 
 /// What came of one member.
@@ -83,13 +83,13 @@
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let group = self.engine.group(&route.group);
-        let limits = self.limits(route, &group, request.received);
+        let deadlines = self.deadlines(route, &group, request.received);
         let job = ReadJob {
             id: request.id.clone(),
             work,
             claim: self.claim(route),
             group: Arc::clone(&group),
-            limits,
+            deadlines,
         };
         self.engine.hedges().record_request();
         let mut permit = None;
@@ -97,7 +97,7 @@
             let residency = self.residency(route);
             check_route(&self.engine, &group, route.consistency, &residency)?;
             let targets = self
-                .read_targets(&group, route, request.received, limits.offer, trace)
+                .read_targets(&group, route, request.received, deadlines.acquire, trace)
                 .await?;
             // A permit would be drawn for nothing, and its lack told as the reason.
             if targets.is_empty() {
@@ -105,23 +105,23 @@
                     Consistency::Leader => FailureReason::NoLeader,
                     _ => FailureReason::NoFreshMember,
                 };
-                pause_or_refuse(limits, reason).await?;
+                pause_or_refuse(deadlines, reason).await?;
                 continue;
             }
-            let drawn = self.permit(permit, limits).await?;
+            let drawn = self.permit(permit, deadlines).await?;
             permit = Some(drawn);
             let job = ReadJob {
-                limits: limits.under(drawn),
+                deadlines: deadlines.within_permit(drawn),
                 ..job.clone()
             };
             match self.run_hedged(&job, targets, trace).await {
                 Ok(completion) => return Ok(completion),
                 Err(ReadFailure::Final(failure)) => return Err(failure),
-                Err(ReadFailure::Later(failure)) if comes_after(&failure, limits.offer) => {
+                Err(ReadFailure::Later(failure)) if comes_after(&failure, deadlines.acquire) => {
                     return Err(failure);
                 }
                 Err(ReadFailure::Again(failure) | ReadFailure::Later(failure)) => {
-                    pause_or_refuse(limits, failure.reason).await?;
+                    pause_or_refuse(deadlines, failure.reason).await?;
                 }
             }
         }
@@ -211,7 +211,7 @@
         let mut running = FuturesUnordered::new();
         let mut last = ReadFailure::Again(Failure::not_run(FailureReason::NoLeader));
         let mut wants_member = true;
-        let mut hedge_at = job.limits.answer;
+        let mut hedge_at = job.deadlines.answer;
         while !(running.is_empty() && targets.is_empty()) {
             let may_hedge = !wants_member && running.len() < UNANSWERED_LIMIT;
             tokio::select! {
@@ -224,7 +224,7 @@
                     }
                     wants_member = true;
                 }
-                offered = first_connection(&self.engine, &targets, &job.claim, job.limits.offer),
+                offered = first_connection(&self.engine, &targets, &job.claim, job.deadlines.acquire),
                     if wants_member && !targets.is_empty() => match offered {
                         Ok(Offer { index, connection }) => {
                             let target = targets.remove(index);
@@ -238,12 +238,12 @@
                         }
                     },
                 () = sleep_until(hedge_at), if may_hedge => {
-                    hedge_at = job.limits.answer;
+                    hedge_at = job.deadlines.answer;
                     // The second run counts too.
                     wants_member = self.engine.hedges().try_retry()
-                        && self.permit(None, job.limits).await.is_ok();
+                        && self.permit(None, job.deadlines).await.is_ok();
                 }
-                () = sleep_until(job.limits.answer) => {
+                () = sleep_until(job.deadlines.answer) => {
                     let failure = Failure::not_run(FailureReason::AnswerTimedOut);
                     return Err(ReadFailure::Final(failure));
                 }
@@ -301,7 +301,7 @@
         put.map_err(RunError::Before)?;
         connection.run_work(&job.id, &job.work, target.after).await
     };
-    let answer = match timeout_at(job.limits.answer, running).await {
+    let answer = match timeout_at(job.deadlines.answer, running).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(RunError::Before(error))) => return ReadOutcome::NotSent(error.to_string()),
         Ok(Err(error)) => return ReadOutcome::Lost(error.to_string()),
--- a/crates/engine/src/session/transaction/mod.rs
+++ b/crates/engine/src/session/transaction/mod.rs
@@ -2,7 +2,7 @@
 
 mod opening;
 
-use super::limits::{RETRY_PAUSE, StatementLimits};
+use super::limits::{RETRY_PAUSE, StatementDeadlines};
 use super::trace::RequestTrace;
 use super::write::{Awaited, await_answer, await_in_time, member_failure, refusal_text};
 use super::{Completion, Session};
@@ -202,7 +202,7 @@
         mut open: OpenTransaction,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
-        let limits = StatementLimits::new(&transaction.route, request.received);
+        let deadlines = StatementDeadlines::new(&transaction.route, request.received);
         let member = open.connection.pool().member().id.clone();
         if open.wrote && transaction.group.commits_stalled() {
             open.connection.roll_back();
@@ -216,7 +216,7 @@
         if open.wrote && !open.connection.pool().is_remote() {
             transaction.group.record_commit_sent(sent);
         }
-        let awaited = run_commit(transaction, &mut open, &request.id, limits).await;
+        let awaited = run_commit(transaction, &mut open, &request.id, deadlines).await;
         let lost = |reason: FailureReason| match open.wrote {
             true => Failure::may_have_run(reason),
             false => Failure::not_run(FailureReason::TransactionLost),
@@ -253,12 +253,12 @@
     work: &Work,
     trace: &mut RequestTrace,
 ) -> Result<Completion, Failure> {
-    let limits = StatementLimits::new(&transaction.route, request.received);
+    let deadlines = StatementDeadlines::new(&transaction.route, request.received);
     let member = open.connection.pool().member().id.clone();
     loop {
         let sent = Instant::now();
         let running = open.connection.run_work(&request.id, work, None);
-        let answer = await_in_time(running, limits.answer)
+        let answer = await_in_time(running, deadlines.answer)
             .await
             .told(open.connection.pool(), sent, trace)
             .map_err(|_| Failure::not_run(FailureReason::TransactionLost))?;
@@ -275,7 +275,7 @@
             Err(refusal) => {
                 trace.attempted(&member, refusal_text(&refusal));
                 let still_open = answer.state == TransactionState::Open;
-                let time_left = Instant::now() + RETRY_PAUSE < limits.offer;
+                let time_left = Instant::now() + RETRY_PAUSE < deadlines.acquire;
                 if !(still_open && time_left && refusal.kind == RefusalKind::Busy) {
                     open.connection.roll_back();
                     return Err(statement_refused(refusal));
@@ -291,7 +291,7 @@
     transaction: &Transaction,
     open: &mut OpenTransaction,
     id: &RequestId,
-    limits: StatementLimits,
+    deadlines: StatementDeadlines,
 ) -> Awaited<Result<Answer, RunError>> {
     let commit = Command::Commit { id: id.clone() };
     let leader = open.leader.clone().filter(|_| open.wrote);
@@ -300,7 +300,7 @@
         loop {
             let answer = connection.run(&commit).await.map_err(RunError::After)?;
             let busy = matches!(&answer.outcome, Err(r) if r.kind == RefusalKind::Busy);
-            let time_left = Instant::now() + RETRY_PAUSE < limits.offer;
+            let time_left = Instant::now() + RETRY_PAUSE < deadlines.acquire;
             if !(busy && time_left && answer.state == TransactionState::Open) {
                 return Ok(answer);
             }
@@ -308,8 +308,8 @@
         }
     };
     match leader {
-        Some(leader) => await_answer(running, &transaction.group, &leader, limits.answer).await,
-        None => await_in_time(running, limits.answer).await,
+        Some(leader) => await_answer(running, &transaction.group, &leader, deadlines.answer).await,
+        None => await_in_time(running, deadlines.answer).await,
     }
 }
 
--- a/crates/engine/src/session/transaction/opening.rs
+++ b/crates/engine/src/session/transaction/opening.rs
@@ -7,7 +7,7 @@
 use crate::pool::{Claim, PooledConnection, RunError, Work};
 use crate::ports::{Command, RefusalKind};
 use crate::session::evacuated::check_route;
-use crate::session::limits::StatementLimits;
+use crate::session::limits::StatementDeadlines;
 use crate::session::offer::{Offer, first_connection, why_declined};
 use crate::session::read::{is_shorter, note_position, note_refusal};
 use crate::session::target::{Target, check_leader_region, leader_target};
@@ -46,7 +46,7 @@
         work: Option<Work>,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
-        let limits = self.limits(&transaction.route, &transaction.group, request.received);
+        let deadlines = self.deadlines(&transaction.route, &transaction.group, request.received);
         let claim = self.claim(&transaction.route);
         let mut permit = None;
         loop {
@@ -56,12 +56,12 @@
             };
             let residency = self.residency(&transaction.route);
             check_route(&self.engine, &transaction.group, consistency, &residency)?;
-            let mut candidates = self.open_candidates(transaction, limits, trace).await?;
+            let mut candidates = self.open_candidates(transaction, deadlines, trace).await?;
             let mut reason = FailureReason::NoLeader;
-            while !candidates.targets.is_empty() && Instant::now() < limits.offer {
-                let drawn = self.permit(permit, limits).await?;
+            while !candidates.targets.is_empty() && Instant::now() < deadlines.acquire {
+                let drawn = self.permit(permit, deadlines).await?;
                 permit = Some(drawn);
-                let until = limits.under(drawn).offer;
+                let until = deadlines.within_permit(drawn).acquire;
                 let offered = first_connection(&self.engine, &candidates.targets, &claim, until);
                 let Offer { index, connection } = match offered.await {
                     Ok(offer) => offer,
@@ -79,14 +79,14 @@
                     request,
                     access,
                     work: work.as_ref(),
-                    limits,
+                    deadlines,
                 };
                 match open_on_member(transaction, chosen, &claim, first, trace).await {
                     Attempt::Decided(outcome) => return outcome,
                     Attempt::NotRun(latest) => reason = latest,
                 }
             }
-            pause_or_refuse(limits, reason).await?;
+            pause_or_refuse(deadlines, reason).await?;
         }
     }
 
@@ -98,13 +98,13 @@
     async fn open_candidates(
         &self,
         transaction: &Transaction,
-        limits: StatementLimits,
+        deadlines: StatementDeadlines,
         trace: &mut RequestTrace,
     ) -> Result<OpenCandidates, Failure> {
         let (route, group) = (&transaction.route, &transaction.group);
         if transaction.read_only {
             let targets = self
-                .read_targets(group, route, transaction.began, limits.offer, trace)
+                .read_targets(group, route, transaction.began, deadlines.acquire, trace)
                 .await?;
             return Ok(OpenCandidates {
                 targets,
@@ -113,7 +113,7 @@
         }
         let residency = self.residency(route);
         check_leader_region(&self.engine, group, &residency)?;
-        let until = limits.offer;
+        let until = deadlines.acquire;
         let Some(writable) = access::writable_leader(group, until).await else {
             return Ok(OpenCandidates::default());
         };
@@ -136,7 +136,7 @@
     access: Access,
     /// None where there is nothing to run before the commit.
     work: Option<&'a Work>,
-    limits: StatementLimits,
+    deadlines: StatementDeadlines,
 }
 
 /// Opens the transaction at a member and runs its first statement there.
@@ -167,7 +167,7 @@
         put.map_err(RunError::Before)?;
         connection.run(&begin).await.map_err(RunError::Before)
     };
-    let awaited = await_in_time(opening, first.limits.offer).await;
+    let awaited = await_in_time(opening, first.deadlines.acquire).await;
     let answer = match awaited.told(pool, sent, trace) {
         Ok(answer) => answer,
         Err(missing) => return Attempt::NotRun(missing.reason()),
@@ -216,7 +216,7 @@
     let member = open.connection.pool().member().id.clone();
     let sent = Instant::now();
     let running = open.connection.run_work(&first.request.id, work, None);
-    let awaited = await_in_time(running, first.limits.answer).await;
+    let awaited = await_in_time(running, first.deadlines.answer).await;
     let answer = match awaited.told(open.connection.pool(), sent, trace) {
         Ok(answer) => answer,
         Err(Unanswered::TimedOut) => {
--- a/crates/engine/src/session/write.rs
+++ b/crates/engine/src/session/write.rs
@@ -1,7 +1,7 @@
 //! Single writes: at the leader, at most once.
 
 use super::evacuated::check_leader;
-use super::limits::{RETRY_PAUSE, StatementLimits};
+use super::limits::{RETRY_PAUSE, StatementDeadlines};
 use super::target::{Target, check_leader_region, leader_target};
 use super::trace::RequestTrace;
 use super::{Completion, Session};
@@ -23,7 +23,7 @@
     work: &'a Work,
     claim: Claim,
     group: &'a Group,
-    limits: StatementLimits,
+    deadlines: StatementDeadlines,
 }
 
 /// What came of giving a statement to a member once.
@@ -109,7 +109,7 @@
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let group = self.engine.group(&route.group);
-        let limits = self.limits(route, &group, request.received);
+        let deadlines = self.deadlines(route, &group, request.received);
         let mut permit = None;
         loop {
             let residency = self.residency(route);
@@ -117,27 +117,27 @@
             if group.commits_stalled() {
                 return Err(Failure::not_run(FailureReason::NoReplica));
             }
-            let Some(leader) = access::writable_leader(&group, limits.offer).await else {
+            let Some(leader) = access::writable_leader(&group, deadlines.acquire).await else {
                 return Err(Failure::not_run(FailureReason::NoLeader));
             };
             check_leader(&self.engine, &group)?;
             // A permit would be drawn for nothing, and its lack told as the reason.
             let Some(target) = leader_target(&self.engine, &leader, &residency)? else {
-                pause_or_refuse(limits, FailureReason::NoLeader).await?;
+                pause_or_refuse(deadlines, FailureReason::NoLeader).await?;
                 continue;
             };
-            let drawn = self.permit(permit, limits).await?;
+            let drawn = self.permit(permit, deadlines).await?;
             permit = Some(drawn);
             let job = WriteJob {
                 id: &request.id,
                 work: &work,
                 claim: self.claim(route),
                 group: &group,
-                limits: StatementLimits::new(route, request.received).under(drawn),
+                deadlines: StatementDeadlines::new(route, request.received).within_permit(drawn),
             };
             match self.write_once(job, &leader, target, trace).await {
                 Attempt::Decided(outcome) => return outcome,
-                Attempt::NotRun(reason) => pause_or_refuse(limits, reason).await?,
+                Attempt::NotRun(reason) => pause_or_refuse(deadlines, reason).await?,
             }
         }
     }
@@ -149,8 +149,10 @@
         target: Target,
         trace: &mut RequestTrace,
     ) -> Attempt<Completion> {
-        let WriteJob { group, limits, .. } = job;
-        let acquired = target.acquire(&self.engine, &job.claim, limits.offer);
+        let WriteJob {
+            group, deadlines, ..
+        } = job;
+        let acquired = target.acquire(&self.engine, &job.claim, deadlines.acquire);
         let mut connection = match acquired.await {
             Ok(connection) => connection,
             Err(error) => {
@@ -167,7 +169,7 @@
             group.record_commit_sent(sent);
         }
         let running = connection.run_work(job.id, job.work, None);
-        let awaited = await_answer(running, group, leader, limits.answer).await;
+        let awaited = await_answer(running, group, leader, deadlines.answer).await;
         self.judge_write(awaited, connection, group, leader, sent, trace)
     }
 
@@ -244,10 +246,10 @@
 
 /// Waits before another try, or refuses where there is no time for one.
 pub(super) async fn pause_or_refuse(
-    limits: StatementLimits,
+    deadlines: StatementDeadlines,
     reason: FailureReason,
 ) -> Result<(), Failure> {
-    if Instant::now() + RETRY_PAUSE >= limits.offer {
+    if Instant::now() + RETRY_PAUSE >= deadlines.acquire {
         return Err(Failure::not_run(reason));
     }
     sleep(RETRY_PAUSE).await;
