--- a/crates/engine/src/session/offer.rs
+++ b/crates/engine/src/session/offer.rs
@@ -2,7 +2,7 @@
 
 use super::target::Target;
 use super::trace::RequestTrace;
-use super::write::shed;
+use super::write::shed_failure;
 use crate::engine::Engine;
 use crate::names::MemberId;
 use crate::pool::{AcquireError, Claim, PooledConnection};
@@ -13,11 +13,11 @@
 use tokio::time::{Instant, sleep_until};
 
 /// How long the better members are waited for before the next one is waited for too.
-const HEAD_START: Duration = Duration::from_millis(30);
+const NEXT_MEMBER_DELAY: Duration = Duration::from_millis(30);
 
 /// A member that has a connection.
 #[derive(Debug)]
-pub(super) struct Offer {
+pub(super) struct AcquiredConnection {
     /// Its place among the targets.
     pub index: usize,
     /// The connection.
@@ -26,7 +26,7 @@
 
 /// A member that had none.
 #[derive(Debug, Clone)]
-pub(super) struct Declined {
+pub(super) struct FailedAcquire {
     /// The member.
     pub member: MemberId,
     /// Why.
@@ -37,15 +37,15 @@
 /// none has. Once it waits at one, a request keeps its place there while it is offered to
 /// the next. Members that are not likely to run it are asked only where no other can be
 /// reached.
-pub(super) async fn first_connection(
+pub(super) async fn acquire_first(
     engine: &Engine,
     targets: &[Target],
     claim: &Claim,
     until: Instant,
-) -> Result<Offer, Vec<Declined>> {
+) -> Result<AcquiredConnection, Vec<FailedAcquire>> {
     let mut next = 0;
     let mut waiting = FuturesUnordered::new();
-    let mut declined = Vec::new();
+    let mut failures = Vec::new();
     let mut next_at = Instant::now();
     loop {
         if next < targets.len() && (waiting.is_empty() || Instant::now() >= next_at) {
@@ -53,19 +53,19 @@
             let target = &targets[index];
             waiting.push(async move { (index, target.acquire(engine, claim, until).await) });
             next += 1;
-            next_at = Instant::now() + HEAD_START;
+            next_at = Instant::now() + NEXT_MEMBER_DELAY;
         }
         if waiting.is_empty() {
-            return Err(declined);
+            return Err(failures);
         }
         let goes_on = next < targets.len() && targets[next].is_preferred;
         tokio::select! {
             biased;
             Some((index, result)) = waiting.next() => match result {
-                Ok(connection) => return Ok(Offer { index, connection }),
+                Ok(connection) => return Ok(AcquiredConnection { index, connection }),
                 Err(error) => {
                     let member = targets[index].pool().member().id.clone();
-                    declined.push(Declined { member, error });
+                    failures.push(FailedAcquire { member, error });
                     next_at = Instant::now();
                 }
             },
@@ -80,33 +80,33 @@
 /// # Errors
 ///
 /// The refusal, where more waiting makes no sense.
-pub(super) fn why_declined(
-    declined: &[Declined],
+pub(super) fn acquire_failure_reason(
+    failures: &[FailedAcquire],
     unreachable: FailureReason,
     trace: &mut RequestTrace,
 ) -> Result<FailureReason, Failure> {
-    for Declined { member, error } in declined {
+    for FailedAcquire { member, error } in failures {
         trace.attempted(member, error.to_string());
     }
-    if let Some(retry_after) = shed_for(declined) {
-        return Err(shed(retry_after));
+    if let Some(retry_after) = shed_retry_after(failures) {
+        return Err(shed_failure(retry_after));
     }
-    let crowded = declined
+    let crowded = failures
         .iter()
-        .any(|declined| matches!(declined.error, AcquireError::Exhausted));
-    let outside = |declined: &Declined| declined.error == AcquireError::OutsideRegions;
+        .any(|failure| matches!(failure.error, AcquireError::Exhausted));
+    let outside = |failure: &FailedAcquire| failure.error == AcquireError::OutsideRegions;
     Ok(match crowded {
         true => FailureReason::Overloaded,
-        false if declined.iter().all(outside) => FailureReason::OutsideHomeRegions,
+        false if failures.iter().all(outside) => FailureReason::OutsideHomeRegions,
         false => unreachable,
     })
 }
 
 /// When to come back, where members could be reached and all of these were too crowded.
-fn shed_for(declined: &[Declined]) -> Option<Duration> {
+fn shed_retry_after(failures: &[FailedAcquire]) -> Option<Duration> {
     let mut soonest = None;
-    for declined in declined {
-        match declined.error {
+    for failure in failures {
+        match failure.error {
             AcquireError::Shed(wait) | AcquireError::SlowStart(wait) => {
                 soonest = Some(soonest.unwrap_or(wait).min(wait))
             }
--- a/crates/engine/src/session/read.rs
+++ b/crates/engine/src/session/read.rs
@@ -4,10 +4,12 @@
 use super::evacuated::check_route;
 use super::floor::FloorRequirement;
 use super::limits::StatementDeadlines;
-use super::offer::{Declined, Offer, first_connection, why_declined};
+use super::offer::{AcquiredConnection, FailedAcquire, acquire_failure_reason, acquire_first};
 use super::target::{Target, check_home_regions, check_leader_region, leader_target};
 use super::trace::RequestTrace;
-use super::write::{member_failure, not_run_reason, pause_or_refuse, refusal_text, release, shed};
+use super::write::{
+    member_failure, not_run_reason, pause_or_refuse, refusal_text, release, shed_failure,
+};
 use super::{Completion, Session};
 use crate::configuration::{Consistency, Route};
 use crate::group::{Group, UsableLeader};
@@ -224,16 +226,16 @@
                     }
                     wants_member = true;
                 }
-                offered = first_connection(&self.engine, &targets, &job.claim, job.deadlines.acquire),
-                    if wants_member && !targets.is_empty() => match offered {
-                        Ok(Offer { index, connection }) => {
+                acquired = acquire_first(&self.engine, &targets, &job.claim, job.deadlines.acquire),
+                    if wants_member && !targets.is_empty() => match acquired {
+                        Ok(AcquiredConnection { index, connection }) => {
                             let target = targets.remove(index);
                             hedge_at = hedge_moment(&target);
                             wants_member = false;
                             running.push(spawn_read(job, target, connection));
                         }
-                        Err(declined) => {
-                            last = decline(&declined, trace);
+                        Err(failures) => {
+                            last = read_failure(&failures, trace);
                             targets.clear();
                         }
                     },
@@ -380,10 +382,10 @@
 
 fn refusal_failure(refusal: Refusal) -> ReadFailure {
     if let RefusalKind::Shed(retry_after) = refusal.kind {
-        return ReadFailure::Final(shed(retry_after));
+        return ReadFailure::Final(shed_failure(retry_after));
     }
     if let RefusalKind::SlowStart(retry_after) = refusal.kind {
-        return ReadFailure::Later(shed(retry_after));
+        return ReadFailure::Later(shed_failure(retry_after));
     }
     match not_run_reason(refusal.kind) {
         Some(reason @ FailureReason::ConnectionLost) => {
@@ -395,8 +397,8 @@
 }
 
 /// What becomes of a read for which no member had a connection.
-fn decline(declined: &[Declined], trace: &mut RequestTrace) -> ReadFailure {
-    match why_declined(declined, FailureReason::NoFreshMember, trace) {
+fn read_failure(failures: &[FailedAcquire], trace: &mut RequestTrace) -> ReadFailure {
+    match acquire_failure_reason(failures, FailureReason::NoFreshMember, trace) {
         Ok(reason) => ReadFailure::Again(Failure::not_run(reason)),
         Err(failure) => ReadFailure::Final(failure),
     }
--- a/crates/engine/src/session/transaction/opening.rs
+++ b/crates/engine/src/session/transaction/opening.rs
@@ -8,7 +8,7 @@
 use crate::ports::{Command, RefusalKind};
 use crate::session::evacuated::check_route;
 use crate::session::limits::StatementDeadlines;
-use crate::session::offer::{Offer, first_connection, why_declined};
+use crate::session::offer::{AcquiredConnection, acquire_failure_reason, acquire_first};
 use crate::session::read::{is_shorter, note_position, note_refusal};
 use crate::session::target::{Target, check_leader_region, leader_target};
 use crate::session::trace::RequestTrace;
@@ -62,11 +62,11 @@
                 let drawn = self.permit(permit, deadlines).await?;
                 permit = Some(drawn);
                 let until = deadlines.within_permit(drawn).acquire;
-                let offered = first_connection(&self.engine, &candidates.targets, &claim, until);
-                let Offer { index, connection } = match offered.await {
+                let acquiring = acquire_first(&self.engine, &candidates.targets, &claim, until);
+                let AcquiredConnection { index, connection } = match acquiring.await {
                     Ok(offer) => offer,
-                    Err(declined) => {
-                        reason = why_declined(&declined, FailureReason::NoLeader, trace)?;
+                    Err(failures) => {
+                        reason = acquire_failure_reason(&failures, FailureReason::NoLeader, trace)?;
                         break;
                     }
                 };
--- a/crates/engine/src/session/write.rs
+++ b/crates/engine/src/session/write.rs
@@ -157,7 +157,7 @@
             Ok(connection) => connection,
             Err(error) => {
                 trace.attempted(&leader.member, error.to_string());
-                return acquire_failure(&error);
+                return acquire_error_outcome(&error);
             }
         };
         if let Err(error) = connection.put_values(&self.values).await {
@@ -264,10 +264,10 @@
 }
 
 /// What becomes of a statement for which there was no connection.
-pub(super) fn acquire_failure<T>(error: &AcquireError) -> Attempt<T> {
+pub(super) fn acquire_error_outcome<T>(error: &AcquireError) -> Attempt<T> {
     match error {
         AcquireError::Shed(retry_after) | AcquireError::SlowStart(retry_after) => {
-            Attempt::Decided(Err(shed(*retry_after)))
+            Attempt::Decided(Err(shed_failure(*retry_after)))
         }
         AcquireError::Exhausted => Attempt::NotRun(FailureReason::Overloaded),
         AcquireError::Unreachable(_) | AcquireError::WrongMember | AcquireError::MayNotSend(_) => {
@@ -278,7 +278,7 @@
 }
 
 /// What a caller is told whose request is not to wait any longer.
-pub(super) fn shed(retry_after: Duration) -> Failure {
+pub(super) fn shed_failure(retry_after: Duration) -> Failure {
     Failure::not_run(FailureReason::Overloaded).with_retry_after(retry_after)
 }
 
@@ -298,7 +298,7 @@
 
 pub(super) fn judge_refusal<T>(refusal: Refusal) -> Attempt<T> {
     if let RefusalKind::Shed(retry_after) | RefusalKind::SlowStart(retry_after) = refusal.kind {
-        return Attempt::Decided(Err(shed(retry_after)));
+        return Attempt::Decided(Err(shed_failure(retry_after)));
     }
     match not_run_reason(refusal.kind) {
         Some(reason) => Attempt::NotRun(reason),
