--- a/crates/engine/src/session/authorization.rs
+++ b/crates/engine/src/session/authorization.rs
@@ -26,7 +26,7 @@
 
 /// How long a caller is held whose database or credential is not known: a change reaches all
 /// processes by way of two others, at 5 to 60 ms each while nothing is amiss.
-const UNKNOWN_PATIENCE: Duration = Duration::from_millis(250);
+const UNKNOWN_NAME_WAIT: Duration = Duration::from_millis(250);
 
 /// The name told to members for callers of public routes without a known credential.
 const ANONYMOUS: &str = "-";
@@ -44,9 +44,13 @@
     now: Instant,
 ) -> Result<Option<Arc<Tenant>>, Failure> {
     let Some(route) = engine.route(database) else {
-        return Err(unknown(engine, FailureReason::UnknownDatabase, now));
+        return Err(unknown_name_failure(
+            engine,
+            FailureReason::UnknownDatabase,
+            now,
+        ));
     };
-    authorize_on(engine, &route, credential, now)
+    authorize_for_route(engine, &route, credential, now)
 }
 
 /// As [`authorize`], under a route that was chosen before: a transaction keeps the one that
@@ -55,7 +59,7 @@
 /// # Errors
 ///
 /// As for [`authorize`].
-pub(super) fn authorize_on(
+pub(super) fn authorize_for_route(
     engine: &Engine,
     route: &Route,
     credential: Option<&Credential>,
@@ -78,7 +82,11 @@
     }
     match tenant {
         Some(tenant) => Ok(Some(Arc::clone(tenant))),
-        None => Err(unknown(engine, FailureReason::UnknownCredential, now)),
+        None => Err(unknown_name_failure(
+            engine,
+            FailureReason::UnknownCredential,
+            now,
+        )),
     }
 }
 
@@ -96,7 +104,7 @@
         return Err(Failure::not_run(FailureReason::NotStarted));
     }
     let asked = Instant::now();
-    let until = asked + UNKNOWN_PATIENCE;
+    let until = asked + UNKNOWN_NAME_WAIT;
     let mut proof = engine.following().subscribe_proof();
     let mut configuration = engine.subscribe_configuration();
     loop {
@@ -106,7 +114,7 @@
             return Ok(());
         };
         let proven = proof.borrow().is_some_and(|at| at >= asked);
-        if proven || !is_unknown(&failure.reason) {
+        if proven || !is_unknown_name(&failure.reason) {
             return Err(failure);
         }
         let changed = async {
@@ -124,7 +132,7 @@
 
 /// The refusal of what the configuration does not name; for good only where a configuration
 /// that names it could not have been in force for long.
-fn unknown(engine: &Engine, reason: FailureReason, now: Instant) -> Failure {
+fn unknown_name_failure(engine: &Engine, reason: FailureReason, now: Instant) -> Failure {
     let complete_as_of = engine.following().configuration_complete_as_of();
     match is_within(complete_as_of, engine.settings().configuration_bound, now) {
         true => Failure::rejected(reason),
@@ -134,10 +142,10 @@
 
 /// The refusal of a session whose database has no route any more.
 pub(super) fn unknown_database(engine: &Engine) -> Failure {
-    unknown(engine, FailureReason::UnknownDatabase, Instant::now())
+    unknown_name_failure(engine, FailureReason::UnknownDatabase, Instant::now())
 }
 
-fn is_unknown(reason: &FailureReason) -> bool {
+fn is_unknown_name(reason: &FailureReason) -> bool {
     matches!(
         reason,
         FailureReason::UnknownDatabase | FailureReason::UnknownCredential
--- a/crates/engine/src/session/evacuated.rs
+++ b/crates/engine/src/session/evacuated.rs
@@ -23,7 +23,7 @@
 ) -> Result<(), Failure> {
     match consistency {
         Consistency::Leader => check_leader(engine, group),
-        _ => check_any(engine, group, residency),
+        _ => check_any_member(engine, group, residency),
     }
 }
 
@@ -52,19 +52,19 @@
     }
 }
 
-fn check_any(engine: &Engine, group: &Group, residency: &Residency) -> Result<(), Failure> {
+fn check_any_member(engine: &Engine, group: &Group, residency: &Residency) -> Result<(), Failure> {
     let schedule = engine.evacuation_schedule();
     let now = Instant::now();
-    let mut held_back = None;
+    let mut refused = None;
     let topology = &engine.settings().topology;
     let members = engine.directory().members_of(group.name());
     for member in residency.select(topology, members) {
         match schedule.check(&member.get().zone, Sender::Session, now) {
             Ok(()) => return Ok(()),
-            Err(reason) => held_back = Some(reason),
+            Err(reason) => refused = Some(reason),
         }
     }
-    held_back.map_or(Ok(()), |reason| Err(refusal(reason)))
+    refused.map_or(Ok(()), |reason| Err(refusal(reason)))
 }
 
 fn refusal(reason: MayNotSend) -> Failure {
--- a/crates/engine/src/session/floor.rs
+++ b/crates/engine/src/session/floor.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FloorRequirement {
     /// The session has written nothing there.
-    Nothing,
+    Unconstrained,
     /// Anything at or above this position.
     Position(LogPosition),
     /// The leader's log alone is known to hold it.
@@ -33,7 +33,12 @@
 
 impl SessionFloor {
     /// Takes a commit that the leader of `epoch` has acknowledged by now.
-    pub fn committed(&mut self, group: &GroupName, epoch: Epoch, position: Option<LogPosition>) {
+    pub fn record_commit(
+        &mut self,
+        group: &GroupName,
+        epoch: Epoch,
+        position: Option<LogPosition>,
+    ) {
         self.commit = Some(SessionCommit {
             group: group.clone(),
             epoch,
@@ -49,15 +54,15 @@
     /// one that covers the moment of the acknowledgement.
     pub fn requirement(&self, group: &Group) -> FloorRequirement {
         let Some(commit) = self.commit.as_ref() else {
-            return FloorRequirement::Nothing;
+            return FloorRequirement::Unconstrained;
         };
         if commit.group != *group.name() {
-            return FloorRequirement::Nothing;
+            return FloorRequirement::Unconstrained;
         }
-        let told = commit
+        let known_position = commit
             .position
             .filter(|_| commit.epoch == group.view().epoch);
-        match told.or_else(|| group.covering_position(commit.acknowledged)) {
+        match known_position.or_else(|| group.covering_position(commit.acknowledged)) {
             Some(position) => FloorRequirement::Position(position),
             None => FloorRequirement::LeaderOnly,
         }
--- a/crates/engine/src/session/mod.rs
+++ b/crates/engine/src/session/mod.rs
@@ -218,7 +218,7 @@
             self.tenant = authorization::authorize(engine, &self.database, credential, now)?;
             return Ok(());
         };
-        match authorization::authorize_on(engine, transaction.route(), credential, now) {
+        match authorization::authorize_for_route(engine, transaction.route(), credential, now) {
             Ok(tenant) => self.tenant = tenant,
             Err(failure) => transaction.fail(failure),
         }
--- a/crates/engine/src/session/read.rs
+++ b/crates/engine/src/session/read.rs
@@ -8,7 +8,7 @@
 use super::target::{Target, check_home_regions, check_leader_region, leader_target};
 use super::trace::RequestTrace;
 use super::write::{
-    member_failure, not_run_reason, pause_or_refuse, refusal_text, release, shed_failure,
+    member_failure, not_run_reason, pause_before_retry, refusal_text, release, shed_failure,
 };
 use super::{Completion, Session};
 use crate::configuration::{Consistency, Route};
@@ -32,9 +32,9 @@
 /// Least time before a second member is asked what the first has not answered.
 const HEDGE_MIN: Duration = Duration::from_millis(70);
 /// That time in multiples of the member's expected latency.
-const HEDGE_LATENCIES: f64 = 3.5;
+const HEDGE_LATENCY_FACTOR: f64 = 3.5;
 /// Members that one read is sent to without an answer, at the most.
-const UNANSWERED_LIMIT: usize = 3;
+const MAX_UNANSWERED: usize = 3;
 
 /// One read's needs, the same for every member that it is sent to.
 #[derive(Debug, Clone)]
@@ -61,16 +61,16 @@
     NotSent(String),
     Lost(String),
     /// It ran on a log that is shorter than the leader's was before: the rows may be old.
-    Outdated,
+    LogRegressed,
 }
 
 /// A read that no member has completed.
 #[derive(Debug)]
 enum ReadFailure {
     /// It may be tried again, while there is time.
-    Again(Failure),
+    Retry(Failure),
     /// It may be tried again once the time has passed that is told.
-    Later(Failure),
+    RetryAfter(Failure),
     /// It is refused.
     Final(Failure),
 }
@@ -107,7 +107,7 @@
                     Consistency::Leader => FailureReason::NoLeader,
                     _ => FailureReason::NoFreshMember,
                 };
-                pause_or_refuse(deadlines, reason).await?;
+                pause_before_retry(deadlines, reason).await?;
                 continue;
             }
             let drawn = self.permit(permit, deadlines).await?;
@@ -119,11 +119,13 @@
             match self.run_hedged(&job, targets, trace).await {
                 Ok(completion) => return Ok(completion),
                 Err(ReadFailure::Final(failure)) => return Err(failure),
-                Err(ReadFailure::Later(failure)) if comes_after(&failure, deadlines.acquire) => {
+                Err(ReadFailure::RetryAfter(failure))
+                    if retries_after(&failure, deadlines.acquire) =>
+                {
                     return Err(failure);
                 }
-                Err(ReadFailure::Again(failure) | ReadFailure::Later(failure)) => {
-                    pause_or_refuse(deadlines, failure.reason).await?;
+                Err(ReadFailure::Retry(failure) | ReadFailure::RetryAfter(failure)) => {
+                    pause_before_retry(deadlines, failure.reason).await?;
                 }
             }
         }
@@ -159,7 +161,7 @@
         let now = Instant::now();
         let candidates = read_candidates(&self.engine, group, residency, Some(after), now);
         let targets = candidates.into_iter();
-        let targets = targets.map(|candidate| Target::candidate(candidate, after));
+        let targets = targets.map(|candidate| Target::from_candidate(candidate, after));
         Ok(targets.collect())
     }
 
@@ -177,7 +179,7 @@
             return Ok(Vec::new());
         };
         let first = leader_target(&self.engine, &leader, residency)?;
-        let second = first.as_ref().map(Target::again);
+        let second = first.as_ref().map(Target::for_retry);
         Ok(first.into_iter().chain(second).collect())
     }
 
@@ -196,7 +198,7 @@
             return Some(covering);
         }
         match self.floor.requirement(group) {
-            FloorRequirement::Nothing => Some(covering),
+            FloorRequirement::Unconstrained => Some(covering),
             FloorRequirement::Position(own) => Some(own.max(covering)),
             FloorRequirement::LeaderOnly => None,
         }
@@ -211,27 +213,27 @@
         trace: &mut RequestTrace,
     ) -> Result<Completion, ReadFailure> {
         let mut running = FuturesUnordered::new();
-        let mut last = ReadFailure::Again(Failure::not_run(FailureReason::NoLeader));
-        let mut wants_member = true;
+        let mut last = ReadFailure::Retry(Failure::not_run(FailureReason::NoLeader));
+        let mut needs_connection = true;
         let mut hedge_at = job.deadlines.answer;
         while !(running.is_empty() && targets.is_empty()) {
-            let may_hedge = !wants_member && running.len() < UNANSWERED_LIMIT;
+            let may_hedge = !needs_connection && running.len() < MAX_UNANSWERED;
             tokio::select! {
                 biased;
                 Some(joined) = running.next() => {
                     let Ok(result) = joined else { continue };
-                    match judge(result, trace) {
+                    match handle_result(result, trace) {
                         Ok(completion) => return Ok(completion),
                         Err(failure) => last = failure,
                     }
-                    wants_member = true;
+                    needs_connection = true;
                 }
                 acquired = acquire_first(&self.engine, &targets, &job.claim, job.deadlines.acquire),
-                    if wants_member && !targets.is_empty() => match acquired {
+                    if needs_connection && !targets.is_empty() => match acquired {
                         Ok(AcquiredConnection { index, connection }) => {
                             let target = targets.remove(index);
-                            hedge_at = hedge_moment(&target);
-                            wants_member = false;
+                            hedge_at = hedge_deadline(&target);
+                            needs_connection = false;
                             running.push(spawn_read(job, target, connection));
                         }
                         Err(failures) => {
@@ -242,7 +244,7 @@
                 () = sleep_until(hedge_at), if may_hedge => {
                     hedge_at = job.deadlines.answer;
                     // The second run counts too.
-                    wants_member = self.engine.hedges().try_retry()
+                    needs_connection = self.engine.hedges().try_retry()
                         && self.permit(None, job.deadlines).await.is_ok();
                 }
                 () = sleep_until(job.deadlines.answer) => {
@@ -256,16 +258,16 @@
 }
 
 /// Whether `failure` tells to come back later than `until`.
-fn comes_after(failure: &Failure, until: Instant) -> bool {
+fn retries_after(failure: &Failure, until: Instant) -> bool {
     let wait = failure.retry_after;
     wait.is_some_and(|wait| Instant::now() + wait >= until)
 }
 
-fn hedge_moment(target: &Target) -> Instant {
+fn hedge_deadline(target: &Target) -> Instant {
     let now = Instant::now();
     let expected_ms = target.pool().health().expected_latency_ms(now);
     let expected = Duration::from_secs_f64(expected_ms.max(0.0) / 1000.0);
-    now + expected.mul_f64(HEDGE_LATENCIES).max(HEDGE_MIN)
+    now + expected.mul_f64(HEDGE_LATENCY_FACTOR).max(HEDGE_MIN)
 }
 
 /// Runs a read at one member in a task of its own: when another member has answered
@@ -285,7 +287,7 @@
 
 /// Whether the log that `answer` tells of holds less than its leader is known to have `reached`:
 /// what answers has started again, with nothing of before.
-pub(super) fn is_shorter(answer: &Answer, reached: Option<LogPosition>) -> bool {
+pub(super) fn has_log_regressed(answer: &Answer, reached: Option<LogPosition>) -> bool {
     answer.position.is_some() && answer.position < reached
 }
 
@@ -312,11 +314,11 @@
             return ReadOutcome::Lost("no answer in time".to_owned());
         }
     };
-    if is_shorter(&answer, reached) {
+    if has_log_regressed(&answer, reached) {
         // The connection is not used any more.
-        return ReadOutcome::Outdated;
+        return ReadOutcome::LogRegressed;
     }
-    note_position(&job.group, leader.as_ref(), sent, &answer);
+    record_position(&job.group, leader.as_ref(), sent, &answer);
     release(connection, answer.state);
     match answer.outcome {
         Ok(signature) => ReadOutcome::Completed(Completion {
@@ -324,7 +326,7 @@
             signature: Some(signature),
         }),
         Err(refusal) => {
-            note_refusal(pool, &refusal, target.after);
+            record_refusal(pool, &refusal, target.after);
             ReadOutcome::Refused(refusal)
         }
     }
@@ -332,7 +334,7 @@
 
 /// Takes the leader's position from an answer to what was sent at `sent`, when `leader`
 /// was known to lead.
-pub(super) fn note_position(
+pub(super) fn record_position(
     group: &Group,
     leader: Option<&UsableLeader>,
     sent: Instant,
@@ -344,13 +346,13 @@
 }
 
 /// Notes that a member lacked the position asked for.
-pub(super) fn note_refusal(pool: &MemberPool, refusal: &Refusal, after: Option<LogPosition>) {
+pub(super) fn record_refusal(pool: &MemberPool, refusal: &Refusal, after: Option<LogPosition>) {
     if let (RefusalKind::Lagging, Some(position)) = (refusal.kind, after) {
         pool.note(|health| health.lagging(position, Instant::now()));
     }
 }
 
-fn judge(result: ReadResult, trace: &mut RequestTrace) -> Result<Completion, ReadFailure> {
+fn handle_result(result: ReadResult, trace: &mut RequestTrace) -> Result<Completion, ReadFailure> {
     let member = &result.member;
     match result.outcome {
         ReadOutcome::Completed(completion) => {
@@ -361,16 +363,16 @@
             trace.attempted(member, refusal_text(&refusal));
             Err(refusal_failure(refusal))
         }
-        ReadOutcome::Outdated => {
+        ReadOutcome::LogRegressed => {
             trace.attempted(member, "its log is shorter than it was");
-            Err(ReadFailure::Again(Failure::not_run(
+            Err(ReadFailure::Retry(Failure::not_run(
                 FailureReason::NoFreshMember,
             )))
         }
         ReadOutcome::NotSent(reason) => {
             trace.attempted(member, reason);
             let failure = Failure::not_run(FailureReason::ConnectionLost);
-            Err(ReadFailure::Again(failure))
+            Err(ReadFailure::Retry(failure))
         }
         ReadOutcome::Lost(reason) => {
             trace.attempted(member, reason);
@@ -385,13 +387,13 @@
         return ReadFailure::Final(shed_failure(retry_after));
     }
     if let RefusalKind::SlowStart(retry_after) = refusal.kind {
-        return ReadFailure::Later(shed_failure(retry_after));
+        return ReadFailure::RetryAfter(shed_failure(retry_after));
     }
     match not_run_reason(refusal.kind) {
         Some(reason @ FailureReason::ConnectionLost) => {
             ReadFailure::Final(Failure::not_run(reason))
         }
-        Some(reason) => ReadFailure::Again(Failure::not_run(reason)),
+        Some(reason) => ReadFailure::Retry(Failure::not_run(reason)),
         None => ReadFailure::Final(member_failure(refusal)),
     }
 }
@@ -399,7 +401,7 @@
 /// What becomes of a read for which no member had a connection.
 fn read_failure(failures: &[FailedAcquire], trace: &mut RequestTrace) -> ReadFailure {
     match acquire_failure_reason(failures, FailureReason::NoFreshMember, trace) {
-        Ok(reason) => ReadFailure::Again(Failure::not_run(reason)),
+        Ok(reason) => ReadFailure::Retry(Failure::not_run(reason)),
         Err(failure) => ReadFailure::Final(failure),
     }
 }
--- a/crates/engine/src/session/target.rs
+++ b/crates/engine/src/session/target.rs
@@ -35,7 +35,7 @@
 
 impl Target {
     /// A candidate for a read whose log must hold `after`.
-    pub(super) fn candidate(candidate: ReadCandidate, after: LogPosition) -> Self {
+    pub(super) fn from_candidate(candidate: ReadCandidate, after: LogPosition) -> Self {
         Self {
             pool: candidate.pool,
             after: Some(after),
@@ -44,7 +44,7 @@
     }
 
     /// The same member, where it is asked again.
-    pub(super) fn again(&self) -> Self {
+    pub(super) fn for_retry(&self) -> Self {
         Self {
             is_preferred: false,
             ..self.clone()
--- a/crates/engine/src/session/transaction/mod.rs
+++ b/crates/engine/src/session/transaction/mod.rs
@@ -222,7 +222,7 @@
             false => Failure::not_run(FailureReason::TransactionLost),
         };
         let answer = awaited
-            .told(open.connection.pool(), sent, trace)
+            .into_answer(open.connection.pool(), sent, trace)
             .map_err(|missing| lost(missing.reason()))?;
         let signature = match answer.outcome {
             Ok(signature) => signature,
@@ -235,7 +235,7 @@
         };
         trace.attempted(&member, "committed");
         if let (true, Some(leader)) = (open.wrote, &open.leader) {
-            self.note_commit(&transaction.group, leader, sent, &answer.position);
+            self.record_commit(&transaction.group, leader, sent, &answer.position);
         }
         Ok(Completion {
             rows: answer.rows,
@@ -260,7 +260,7 @@
         let running = open.connection.run_work(&request.id, work, None);
         let answer = await_in_time(running, deadlines.answer)
             .await
-            .told(open.connection.pool(), sent, trace)
+            .into_answer(open.connection.pool(), sent, trace)
             .map_err(|_| Failure::not_run(FailureReason::TransactionLost))?;
         match answer.outcome {
             Ok(signature) => {
--- a/crates/engine/src/session/transaction/opening.rs
+++ b/crates/engine/src/session/transaction/opening.rs
@@ -9,11 +9,11 @@
 use crate::session::evacuated::check_route;
 use crate::session::limits::StatementDeadlines;
 use crate::session::offer::{AcquiredConnection, acquire_failure_reason, acquire_first};
-use crate::session::read::{is_shorter, note_position, note_refusal};
+use crate::session::read::{has_log_regressed, record_position, record_refusal};
 use crate::session::target::{Target, check_leader_region, leader_target};
 use crate::session::trace::RequestTrace;
 use crate::session::write::{
-    Attempt, Unanswered, await_in_time, judge_refusal, pause_or_refuse, refusal_text, release,
+    Attempt, Unanswered, await_in_time, pause_before_retry, refusal_outcome, refusal_text, release,
 };
 use crate::session::{Completion, Session};
 use crate::statement::{Access, Request};
@@ -86,7 +86,7 @@
                     Attempt::NotRun(latest) => reason = latest,
                 }
             }
-            pause_or_refuse(deadlines, reason).await?;
+            pause_before_retry(deadlines, reason).await?;
         }
     }
 
@@ -168,25 +168,25 @@
         connection.run(&begin).await.map_err(RunError::Before)
     };
     let awaited = await_in_time(opening, first.deadlines.acquire).await;
-    let answer = match awaited.told(pool, sent, trace) {
+    let answer = match awaited.into_answer(pool, sent, trace) {
         Ok(answer) => answer,
         Err(missing) => return Attempt::NotRun(missing.reason()),
     };
-    if is_shorter(&answer, reached) {
+    if has_log_regressed(&answer, reached) {
         trace.attempted(&member, "its log is shorter than it was");
         connection.roll_back();
         return Attempt::NotRun(FailureReason::NoFreshMember);
     }
-    note_position(&transaction.group, known.as_ref(), sent, &answer);
+    record_position(&transaction.group, known.as_ref(), sent, &answer);
     if let Err(refusal) = answer.outcome {
         trace.attempted(&member, refusal_text(&refusal));
-        note_refusal(pool, &refusal, target.after);
+        record_refusal(pool, &refusal, target.after);
         release(connection, answer.state);
         if transaction.read_only && matches!(refusal.kind, RefusalKind::SlowStart(_)) {
             // Another member may take it.
             return Attempt::NotRun(FailureReason::Overloaded);
         }
-        return judge_refusal(refusal);
+        return refusal_outcome(refusal);
     }
     if let Some(leader) = &leader {
         transaction.group.confirm_leader(leader);
@@ -217,7 +217,7 @@
     let sent = Instant::now();
     let running = open.connection.run_work(&first.request.id, work, None);
     let awaited = await_in_time(running, first.deadlines.answer).await;
-    let answer = match awaited.told(open.connection.pool(), sent, trace) {
+    let answer = match awaited.into_answer(open.connection.pool(), sent, trace) {
         Ok(answer) => answer,
         Err(Unanswered::TimedOut) => {
             return Attempt::Decided(Err(Failure::not_run(FailureReason::TransactionLost)));
@@ -237,7 +237,7 @@
         Err(refusal) => {
             trace.attempted(&member, refusal_text(&refusal));
             open.connection.roll_back();
-            judge_refusal(refusal)
+            refusal_outcome(refusal)
         }
     }
 }
--- a/crates/engine/src/session/write.rs
+++ b/crates/engine/src/session/write.rs
@@ -70,7 +70,7 @@
 impl Awaited<Result<Answer, RunError>> {
     /// The answer to what was sent at `sent`. One that is missing is told in `trace`, and
     /// a member's silence is noted.
-    pub(super) fn told(
+    pub(super) fn into_answer(
         self,
         pool: &MemberPool,
         sent: Instant,
@@ -123,7 +123,7 @@
             check_leader(&self.engine, &group)?;
             // A permit would be drawn for nothing, and its lack told as the reason.
             let Some(target) = leader_target(&self.engine, &leader, &residency)? else {
-                pause_or_refuse(deadlines, FailureReason::NoLeader).await?;
+                pause_before_retry(deadlines, FailureReason::NoLeader).await?;
                 continue;
             };
             let drawn = self.permit(permit, deadlines).await?;
@@ -137,7 +137,7 @@
             };
             match self.write_once(job, &leader, target, trace).await {
                 Attempt::Decided(outcome) => return outcome,
-                Attempt::NotRun(reason) => pause_or_refuse(deadlines, reason).await?,
+                Attempt::NotRun(reason) => pause_before_retry(deadlines, reason).await?,
             }
         }
     }
@@ -170,10 +170,10 @@
         }
         let running = connection.run_work(job.id, job.work, None);
         let awaited = await_answer(running, group, leader, deadlines.answer).await;
-        self.judge_write(awaited, connection, group, leader, sent, trace)
+        self.write_outcome(awaited, connection, group, leader, sent, trace)
     }
 
-    fn judge_write(
+    fn write_outcome(
         &mut self,
         awaited: Awaited<Result<Answer, RunError>>,
         connection: PooledConnection,
@@ -182,7 +182,7 @@
         sent: Instant,
         trace: &mut RequestTrace,
     ) -> Attempt<Completion> {
-        let answer = match awaited.told(connection.pool(), sent, trace) {
+        let answer = match awaited.into_answer(connection.pool(), sent, trace) {
             Ok(answer) => answer,
             Err(missing @ Unanswered::NotSent) => return Attempt::NotRun(missing.reason()),
             Err(missing) => return Attempt::Decided(Err(Failure::may_have_run(missing.reason()))),
@@ -191,7 +191,7 @@
         match answer.outcome {
             Ok(signature) => {
                 trace.attempted(&leader.member, "completed");
-                self.note_commit(group, leader, sent, &answer.position);
+                self.record_commit(group, leader, sent, &answer.position);
                 Attempt::Decided(Ok(Completion {
                     rows: answer.rows,
                     signature: Some(signature),
@@ -199,13 +199,13 @@
             }
             Err(refusal) => {
                 trace.attempted(&leader.member, refusal_text(&refusal));
-                judge_refusal(refusal)
+                refusal_outcome(refusal)
             }
         }
     }
 
     /// Takes an acknowledged commit into the session's floor and the group's beliefs.
-    pub(super) fn note_commit(
+    pub(super) fn record_commit(
         &mut self,
         group: &Group,
         leader: &UsableLeader,
@@ -214,7 +214,8 @@
     ) {
         let replicated = self.engine.sync_replicas(group.name()) > 0;
         group.record_commit(leader, sent, *position, replicated);
-        self.floor.committed(group.name(), leader.epoch, *position);
+        self.floor
+            .record_commit(group.name(), leader.epoch, *position);
     }
 }
 
@@ -245,7 +246,7 @@
 }
 
 /// Waits before another try, or refuses where there is no time for one.
-pub(super) async fn pause_or_refuse(
+pub(super) async fn pause_before_retry(
     deadlines: StatementDeadlines,
     reason: FailureReason,
 ) -> Result<(), Failure> {
@@ -296,7 +297,7 @@
     }
 }
 
-pub(super) fn judge_refusal<T>(refusal: Refusal) -> Attempt<T> {
+pub(super) fn refusal_outcome<T>(refusal: Refusal) -> Attempt<T> {
     if let RefusalKind::Shed(retry_after) | RefusalKind::SlowStart(retry_after) = refusal.kind {
         return Attempt::Decided(Err(shed_failure(retry_after)));
     }
