--- a/crates/engine/src/session/mod.rs
+++ b/crates/engine/src/session/mod.rs
@@ -155,7 +155,7 @@
             Statement::Begin { read_only } => self.begin(*read_only, request.received),
             Statement::Commit => {
                 self.authorize(request)?;
-                trace.authorized(self.tenant_name());
+                trace.set_tenant(self.tenant_name());
                 self.finish_transaction(request, true, trace).await
             }
             Statement::Rollback => self.finish_transaction(request, false, trace).await,
@@ -196,12 +196,12 @@
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         self.authorize(request)?;
-        trace.authorized(self.tenant_name());
+        trace.set_tenant(self.tenant_name());
         if self.transaction.is_some() {
             return self.run_in_transaction(request, access, work, trace).await;
         }
         let route = self.route()?;
-        trace.routed(&self.engine, &route);
+        trace.set_route(&self.engine, &route);
         match access {
             Access::Read => self.run_read(request, &route, work, trace).await,
             Access::Write => self.run_write(request, &route, work, trace).await,
--- a/crates/engine/src/session/offer.rs
+++ b/crates/engine/src/session/offer.rs
@@ -86,7 +86,7 @@
     trace: &mut RequestTrace,
 ) -> Result<FailureReason, Failure> {
     for FailedAcquire { member, error } in failures {
-        trace.attempted(member, error.to_string());
+        trace.record_attempt(member, error.to_string());
     }
     if let Some(retry_after) = shed_retry_after(failures) {
         return Err(shed_failure(retry_after));
--- a/crates/engine/src/session/read.rs
+++ b/crates/engine/src/session/read.rs
@@ -152,7 +152,7 @@
                 .await;
         }
         let required = self.required_position(group, route, received, until).await;
-        trace.requires(required);
+        trace.set_required_position(required);
         let Some(after) = required else {
             return self
                 .leader_targets(group, residency, route.max_staleness, until)
@@ -356,26 +356,26 @@
     let member = &result.member;
     match result.outcome {
         ReadOutcome::Completed(completion) => {
-            trace.attempted(member, "completed");
+            trace.record_attempt(member, "completed");
             Ok(completion)
         }
         ReadOutcome::Refused(refusal) => {
-            trace.attempted(member, refusal_text(&refusal));
+            trace.record_attempt(member, refusal_text(&refusal));
             Err(refusal_failure(refusal))
         }
         ReadOutcome::LogRegressed => {
-            trace.attempted(member, "its log is shorter than it was");
+            trace.record_attempt(member, "its log is shorter than it was");
             Err(ReadFailure::Retry(Failure::not_run(
                 FailureReason::NoFreshMember,
             )))
         }
         ReadOutcome::NotSent(reason) => {
-            trace.attempted(member, reason);
+            trace.record_attempt(member, reason);
             let failure = Failure::not_run(FailureReason::ConnectionLost);
             Err(ReadFailure::Retry(failure))
         }
         ReadOutcome::Lost(reason) => {
-            trace.attempted(member, reason);
+            trace.record_attempt(member, reason);
             let failure = Failure::not_run(FailureReason::ConnectionLost);
             Err(ReadFailure::Final(failure))
         }
--- a/crates/engine/src/session/trace.rs
+++ b/crates/engine/src/session/trace.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 /// Attempts that one event tells, at the most.
-const ATTEMPTS_TOLD: usize = 12;
+const MAX_ATTEMPTS: usize = 12;
 
 /// Route of statements that need no member.
 const NO_ROUTE: &str = "none";
@@ -57,12 +57,12 @@
     }
 
     /// It was found out on whose behalf the request is asked.
-    pub fn authorized(&mut self, tenant: Option<&TenantName>) {
+    pub fn set_tenant(&mut self, tenant: Option<&TenantName>) {
         self.tenant = tenant.cloned();
     }
 
     /// The route was chosen.
-    pub fn routed(&mut self, engine: &Engine, route: &Route) {
+    pub fn set_route(&mut self, engine: &Engine, route: &Route) {
         let group = engine.group(&route.group);
         self.epoch = Some(group.view().epoch);
         let now = Instant::now();
@@ -73,13 +73,13 @@
     }
 
     /// The position was chosen that a member's log must hold.
-    pub fn requires(&mut self, after: Option<LogPosition>) {
+    pub fn set_required_position(&mut self, after: Option<LogPosition>) {
         self.after = after;
     }
 
     /// A member was tried.
-    pub fn attempted(&mut self, member: &MemberId, result: impl Into<String>) {
-        if self.attempts.len() < ATTEMPTS_TOLD {
+    pub fn record_attempt(&mut self, member: &MemberId, result: impl Into<String>) {
+        if self.attempts.len() < MAX_ATTEMPTS {
             self.attempts.push(AttemptEvent {
                 member: member.clone(),
                 result: result.into(),
@@ -110,7 +110,7 @@
             group: self.group,
             statement: self.statement,
             configuration: self.configuration,
-            proof_age_ms: proof_age_told(engine, outcome),
+            proof_age_ms: relevant_proof_age(engine, outcome),
             epoch: self.epoch,
             evidence_age_ms: self.evidence_age_ms,
             after: self.after,
@@ -140,8 +140,8 @@
 }
 
 /// The age of the proof of the configuration, where that is what decided.
-fn proof_age_told(engine: &Engine, outcome: &Result<Completion, Failure>) -> Option<u64> {
-    let decides = matches!(
+fn relevant_proof_age(engine: &Engine, outcome: &Result<Completion, Failure>) -> Option<u64> {
+    let is_relevant = matches!(
         outcome.as_ref().err()?.reason,
         FailureReason::UnknownCredential
             | FailureReason::UnknownDatabase
@@ -151,7 +151,7 @@
             | FailureReason::RateUnknown
     );
     let age = authorization::proof_age(engine, Instant::now());
-    age.filter(|_| decides).map(millis)
+    age.filter(|_| is_relevant).map(millis)
 }
 
 fn outcome_event(outcome: &Result<Completion, Failure>) -> OutcomeEvent {
--- a/crates/engine/src/session/transaction/mod.rs
+++ b/crates/engine/src/session/transaction/mod.rs
@@ -148,7 +148,7 @@
         let Some(mut transaction) = self.transaction.take() else {
             return Err(Failure::rejected(FailureReason::OutOfPlace));
         };
-        trace.routed(&self.engine, &transaction.route);
+        trace.set_route(&self.engine, &transaction.route);
         let stage = std::mem::replace(&mut transaction.stage, Stage::Failed);
         let outcome = match stage {
             Stage::Failed => Err(Failure::rejected(FailureReason::OutOfPlace)),
@@ -176,7 +176,7 @@
         let Some(mut transaction) = self.transaction.take() else {
             return Err(Failure::rejected(FailureReason::OutOfPlace));
         };
-        trace.routed(&self.engine, &transaction.route);
+        trace.set_route(&self.engine, &transaction.route);
         let mut stage = std::mem::replace(&mut transaction.stage, Stage::Failed);
         if commit && matches!(stage, Stage::Pending) {
             self.open_transaction(&mut transaction, request, Access::Read, None, trace)
@@ -209,7 +209,7 @@
             return Err(Failure::not_run(FailureReason::NoReplica));
         }
         if let Err(reason) = open.connection.pool().check_sending() {
-            trace.attempted(&member, reason.to_string());
+            trace.record_attempt(&member, reason.to_string());
             return Err(Failure::not_run(FailureReason::TransactionLost));
         }
         let sent = Instant::now();
@@ -227,13 +227,13 @@
         let signature = match answer.outcome {
             Ok(signature) => signature,
             Err(refusal) => {
-                trace.attempted(&member, refusal_text(&refusal));
+                trace.record_attempt(&member, refusal_text(&refusal));
                 let failure = commit_refused(refusal, open.wrote);
                 super::write::release(open.connection, answer.state);
                 return Err(failure);
             }
         };
-        trace.attempted(&member, "committed");
+        trace.record_attempt(&member, "committed");
         if let (true, Some(leader)) = (open.wrote, &open.leader) {
             self.record_commit(&transaction.group, leader, sent, &answer.position);
         }
@@ -264,7 +264,7 @@
             .map_err(|_| Failure::not_run(FailureReason::TransactionLost))?;
         match answer.outcome {
             Ok(signature) => {
-                trace.attempted(&member, "completed");
+                trace.record_attempt(&member, "completed");
                 open.wrote |= access == Access::Write;
                 transaction.stage = Stage::Open(open);
                 return Ok(Completion {
@@ -273,7 +273,7 @@
                 });
             }
             Err(refusal) => {
-                trace.attempted(&member, refusal_text(&refusal));
+                trace.record_attempt(&member, refusal_text(&refusal));
                 let still_open = answer.state == TransactionState::Open;
                 let time_left = Instant::now() + RETRY_PAUSE < deadlines.acquire;
                 if !(still_open && time_left && refusal.kind == RefusalKind::Busy) {
--- a/crates/engine/src/session/transaction/opening.rs
+++ b/crates/engine/src/session/transaction/opening.rs
@@ -173,13 +173,13 @@
         Err(missing) => return Attempt::NotRun(missing.reason()),
     };
     if has_log_regressed(&answer, reached) {
-        trace.attempted(&member, "its log is shorter than it was");
+        trace.record_attempt(&member, "its log is shorter than it was");
         connection.roll_back();
         return Attempt::NotRun(FailureReason::NoFreshMember);
     }
     record_position(&transaction.group, known.as_ref(), sent, &answer);
     if let Err(refusal) = answer.outcome {
-        trace.attempted(&member, refusal_text(&refusal));
+        trace.record_attempt(&member, refusal_text(&refusal));
         record_refusal(pool, &refusal, target.after);
         release(connection, answer.state);
         if transaction.read_only && matches!(refusal.kind, RefusalKind::SlowStart(_)) {
@@ -226,7 +226,7 @@
     };
     match answer.outcome {
         Ok(signature) => {
-            trace.attempted(&member, "completed");
+            trace.record_attempt(&member, "completed");
             open.wrote = first.access == Access::Write;
             transaction.stage = Stage::Open(open);
             Attempt::Decided(Ok(Completion {
@@ -235,7 +235,7 @@
             }))
         }
         Err(refusal) => {
-            trace.attempted(&member, refusal_text(&refusal));
+            trace.record_attempt(&member, refusal_text(&refusal));
             open.connection.roll_back();
             refusal_outcome(refusal)
         }
--- a/crates/engine/src/session/write.rs
+++ b/crates/engine/src/session/write.rs
@@ -80,19 +80,19 @@
         match self {
             Awaited::Answered(Ok(answer)) => Ok(answer),
             Awaited::Answered(Err(error)) => {
-                trace.attempted(member, error.to_string());
+                trace.record_attempt(member, error.to_string());
                 Err(match error {
                     RunError::Before(_) => Unanswered::NotSent,
                     RunError::After(_) => Unanswered::Lost,
                 })
             }
             Awaited::TimedOut => {
-                trace.attempted(member, "no answer in time");
+                trace.record_attempt(member, "no answer in time");
                 pool.note_unanswered(sent);
                 Err(Unanswered::TimedOut)
             }
             Awaited::Superseded => {
-                trace.attempted(member, "superseded before its answer");
+                trace.record_attempt(member, "superseded before its answer");
                 Err(Unanswered::Superseded)
             }
         }
@@ -156,12 +156,12 @@
         let mut connection = match acquired.await {
             Ok(connection) => connection,
             Err(error) => {
-                trace.attempted(&leader.member, error.to_string());
+                trace.record_attempt(&leader.member, error.to_string());
                 return acquire_error_outcome(&error);
             }
         };
         if let Err(error) = connection.put_values(&self.values).await {
-            trace.attempted(&leader.member, error.to_string());
+            trace.record_attempt(&leader.member, error.to_string());
             return Attempt::NotRun(FailureReason::ConnectionLost);
         }
         let sent = Instant::now();
@@ -190,7 +190,7 @@
         release(connection, answer.state);
         match answer.outcome {
             Ok(signature) => {
-                trace.attempted(&leader.member, "completed");
+                trace.record_attempt(&leader.member, "completed");
                 self.record_commit(group, leader, sent, &answer.position);
                 Attempt::Decided(Ok(Completion {
                     rows: answer.rows,
@@ -198,7 +198,7 @@
                 }))
             }
             Err(refusal) => {
-                trace.attempted(&leader.member, refusal_text(&refusal));
+                trace.record_attempt(&leader.member, refusal_text(&refusal));
                 refusal_outcome(refusal)
             }
         }
