--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -24,29 +24,29 @@
 use tokio::time::{Instant, timeout};
 
 /// Commands of one unit that may wait: each is answered before the next comes.
-const UNIT_QUEUE: usize = 4;
+const UNIT_QUEUE_CAPACITY: usize = 4;
 /// Silence after which the other side of a link counts as gone.
-const SILENCE_LIMIT: Duration = Duration::from_secs(60);
+const LINK_TIMEOUT: Duration = Duration::from_secs(60);
 /// Age of evidence that is told as it is; older evidence is renewed first.
-const EVIDENCE_AGE: Duration = Duration::from_millis(280);
+const MAX_EVIDENCE_AGE: Duration = Duration::from_millis(280);
 /// Age of the moment that a position covers which is told as it is.
-const POSITION_AGE: Duration = Duration::from_millis(800);
+const MAX_POSITION_AGE: Duration = Duration::from_millis(800);
 /// Longest time for which a question for news waits.
-const NEWS_WAIT_MAX: Duration = Duration::from_secs(10);
+const MAX_NEWS_WAIT: Duration = Duration::from_secs(10);
 /// Longest wait for something more recent.
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Time after which a forwarded statement counts as late here.
-const LATE: Duration = Duration::from_millis(200);
+const LATE_THRESHOLD: Duration = Duration::from_millis(200);
 
 /// A forwarded statement, as events tell of it.
-struct Forwarded {
+struct ForwardedStatement {
     id: Option<RequestId>,
     member: MemberId,
 }
 
-impl Forwarded {
-    fn of(request: &RunRequest) -> Self {
+impl ForwardedStatement {
+    fn new(request: &RunRequest) -> Self {
         Self {
             id: request.command.id().cloned(),
             member: request.member.clone(),
@@ -71,17 +71,17 @@
     loop {
         if !leaving && *stop.borrow_and_update() > StopPhase::Serving {
             leaving = true;
-            task.tell(&FromHome::Leaving).await;
+            task.send(&FromHome::Leaving).await;
         }
         let frame = tokio::select! {
-            frame = timeout(SILENCE_LIMIT, rx.recv()) => frame,
+            frame = timeout(LINK_TIMEOUT, rx.recv()) => frame,
             Ok(()) = stop.changed() => continue,
         };
         let Ok(Some(frame)) = frame else { return };
         match decode::<ToHome>(&frame) {
             Some(ToHome::Run(request)) => {
                 units.retain(|_, unit| !unit.is_closed());
-                task.hand_over(&mut units, *request);
+                task.dispatch(&mut units, *request);
             }
             Some(ToHome::Close(unit)) => {
                 units.remove(&unit);
@@ -93,8 +93,8 @@
             }) => {
                 let task = task.clone();
                 tokio::spawn(async move {
-                    let beliefs = task.believe(group, wanted).await;
-                    task.tell(&FromHome::Beliefs { exchange, beliefs }).await;
+                    let beliefs = task.group_beliefs(group, wanted).await;
+                    task.send(&FromHome::Beliefs { exchange, beliefs }).await;
                 });
             }
             Some(ToHome::Follow {
@@ -104,7 +104,7 @@
             }) => {
                 let task = task.clone();
                 tokio::spawn(async move {
-                    let wait = wait.min(NEWS_WAIT_MAX);
+                    let wait = wait.min(MAX_NEWS_WAIT);
                     let news = Box::new(following::news(&task.engine, known, wait).await);
                     let answer = FromHome::News { exchange, news };
                     for part in encode_in_parts(exchange, &answer) {
@@ -128,7 +128,7 @@
                 if drawn == Draw::NotCounted {
                     counters.want(shard);
                 }
-                task.tell(&FromHome::Drawn { exchange, drawn }).await;
+                task.send(&FromHome::Drawn { exchange, drawn }).await;
             }
             Some(ToHome::Want(shard)) => task.engine.counters().want(shard),
             Some(ToHome::CounterLease { shard, record }) => {
@@ -141,9 +141,9 @@
             }
             Some(ToHome::AskNewestTerm { exchange }) => {
                 let version = vouching::newest_term(&task.engine);
-                task.tell(&FromHome::NewestTerm { exchange, version }).await;
+                task.send(&FromHome::NewestTerm { exchange, version }).await;
             }
-            Some(ToHome::Ping) => task.tell(&FromHome::Pong).await,
+            Some(ToHome::Ping) => task.send(&FromHome::Pong).await,
             None => {
                 log::warn!("a process said what makes no sense; its link is closed");
                 return;
@@ -153,24 +153,31 @@
 }
 
 impl LinkTask {
-    async fn tell(&self, frame: &FromHome) {
+    async fn send(&self, frame: &FromHome) {
         // Where the link has ended there is nobody to tell.
         let _ = self.tx.send(encode(frame)).await;
     }
 
     /// Writes what became of a forwarded statement where that explains a failure.
-    fn note(&self, told: &Forwarded, outcome: &HomeOutcome, began: Instant) {
+    fn record_outcome(
+        &self,
+        statement: &ForwardedStatement,
+        outcome: &HomeOutcome,
+        began: Instant,
+    ) {
         let elapsed = began.elapsed();
         let (result, reason) = match outcome {
-            HomeOutcome::Answered(_) if elapsed < LATE => return,
+            HomeOutcome::Answered(_) if elapsed < LATE_THRESHOLD => return,
             HomeOutcome::Answered(_) => ("late", String::new()),
             HomeOutcome::NotSent(reason) => ("not_sent", format!("{reason:?}")),
             HomeOutcome::Lost(reason) => ("lost", reason.clone()),
         };
-        let Some(id) = told.id.clone() else { return };
+        let Some(id) = statement.id.clone() else {
+            return;
+        };
         self.engine.events().write(&Event::Forwarded {
             id,
-            member: told.member.clone(),
+            member: statement.member.clone(),
             result,
             reason,
             elapsed_ms: millis(elapsed),
@@ -178,17 +185,13 @@
     }
 
     /// Gives a command to its unit's task; a new unit gets one.
-    fn hand_over(
-        &self,
-        units: &mut HashMap<UnitId, mpsc::Sender<RunRequest>>,
-        request: RunRequest,
-    ) {
+    fn dispatch(&self, units: &mut HashMap<UnitId, mpsc::Sender<RunRequest>>, request: RunRequest) {
         if let Some(unit) = units.get(&request.unit) {
             // A unit has one command at a time: its queue has room.
             let _ = unit.try_send(request);
             return;
         }
-        let (tx, rx) = mpsc::channel(UNIT_QUEUE);
+        let (tx, rx) = mpsc::channel(UNIT_QUEUE_CAPACITY);
         units.insert(request.unit, tx);
         let task = self.clone();
         tokio::spawn(async move { task.run_unit(request, rx).await });
@@ -199,7 +202,7 @@
         metrics::counter!("stilequay_home_units_total").increment(1);
         let exchange = first.exchange;
         let began = Instant::now();
-        let told = Forwarded::of(&first);
+        let statement = ForwardedStatement::new(&first);
         let acquired = tokio::select! {
             acquired = Unit::open(&self.engine, &first) => acquired,
             // Nobody waits any more.
@@ -209,30 +212,30 @@
             Ok(unit) => unit,
             Err(reason) => {
                 let outcome = HomeOutcome::NotSent(reason);
-                self.note(&told, &outcome, began);
-                self.tell(&FromHome::Ran { exchange, outcome }).await;
+                self.record_outcome(&statement, &outcome, began);
+                self.send(&FromHome::Ran { exchange, outcome }).await;
                 return;
             }
         };
         let mut request = first;
         loop {
             let exchange = request.exchange;
-            let (told, began) = (Forwarded::of(&request), Instant::now());
+            let (statement, began) = (ForwardedStatement::new(&request), Instant::now());
             let Some(outcome) = unit.run_for(request, &mut rx).await else {
                 return;
             };
-            self.note(&told, &outcome, began);
-            let goes_on = matches!(
+            self.record_outcome(&statement, &outcome, began);
+            let is_continued = matches!(
                 &outcome,
                 HomeOutcome::Answered(answer) if answer.state != TransactionState::Idle
             );
-            if !goes_on {
+            if !is_continued {
                 // Another unit may have the connection before the answer is read.
                 drop(unit);
-                self.tell(&FromHome::Ran { exchange, outcome }).await;
+                self.send(&FromHome::Ran { exchange, outcome }).await;
                 return;
             }
-            self.tell(&FromHome::Ran { exchange, outcome }).await;
+            self.send(&FromHome::Ran { exchange, outcome }).await;
             let Some(next) = rx.recv().await else {
                 unit.roll_back();
                 return;
@@ -242,20 +245,20 @@
     }
 
     /// What this process believes of `group`, after a look at what is wanted.
-    async fn believe(&self, group: GroupName, wanted: Wanted) -> Vec<GroupBelief> {
+    async fn group_beliefs(&self, group: GroupName, wanted: Wanted) -> Vec<GroupBelief> {
         if !self.engine.directory().has_group(&group) {
             return Vec::new();
         }
-        let known = self.engine.group(&group);
+        let state = self.engine.group(&group);
         // What can't be renewed in time is told as it is.
-        let _ = timeout(RENEWAL_TIMEOUT, self.renew(&known, wanted)).await;
+        let _ = timeout(RENEWAL_TIMEOUT, self.renew(&state, wanted)).await;
         beliefs(&self.engine, &[group])
     }
 
     async fn renew(&self, group: &Group, wanted: Wanted) {
         let now = Instant::now();
         let is_recent = |at: Option<Instant>, age| at.is_some_and(|at| now < at + age);
-        if !is_recent(group.evidence(), EVIDENCE_AGE) {
+        if !is_recent(group.evidence(), MAX_EVIDENCE_AGE) {
             match wanted {
                 Wanted::StoreEvidence => {
                     if !vouching::renew(&self.engine, group).await {
@@ -267,7 +270,7 @@
             }
         }
         let covered = group.newest_covering().map(|sample| sample.at);
-        if wanted == Wanted::Position && !is_recent(covered, POSITION_AGE) {
+        if wanted == Wanted::Position && !is_recent(covered, MAX_POSITION_AGE) {
             freshness::ask_leader(&self.engine, group).await;
         }
     }
