--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -40,12 +40,12 @@
 const LATE_THRESHOLD: Duration = Duration::from_millis(200);
 
 /// A forwarded statement, as events tell of it.
-struct ForwardedStatement {
+struct ForwardedCommand {
     id: Option<RequestId>,
     member: MemberId,
 }
 
-impl ForwardedStatement {
+impl ForwardedCommand {
     fn new(request: &RunRequest) -> Self {
         Self {
             id: request.command.id().cloned(),
@@ -159,12 +159,7 @@
     }
 
     /// Writes what became of a forwarded statement where that explains a failure.
-    fn record_outcome(
-        &self,
-        statement: &ForwardedStatement,
-        outcome: &HomeOutcome,
-        began: Instant,
-    ) {
+    fn record_outcome(&self, command: &ForwardedCommand, outcome: &HomeOutcome, began: Instant) {
         let elapsed = began.elapsed();
         let (result, reason) = match outcome {
             HomeOutcome::Answered(_) if elapsed < LATE_THRESHOLD => return,
@@ -172,12 +167,10 @@
             HomeOutcome::NotSent(reason) => ("not_sent", format!("{reason:?}")),
             HomeOutcome::Lost(reason) => ("lost", reason.clone()),
         };
-        let Some(id) = statement.id.clone() else {
-            return;
-        };
+        let Some(id) = command.id.clone() else { return };
         self.engine.events().write(&Event::Forwarded {
             id,
-            member: statement.member.clone(),
+            member: command.member.clone(),
             result,
             reason,
             elapsed_ms: millis(elapsed),
@@ -202,7 +195,7 @@
         metrics::counter!("stilequay_home_units_total").increment(1);
         let exchange = first.exchange;
         let began = Instant::now();
-        let statement = ForwardedStatement::new(&first);
+        let command = ForwardedCommand::new(&first);
         let acquired = tokio::select! {
             acquired = Unit::open(&self.engine, &first) => acquired,
             // Nobody waits any more.
@@ -212,7 +205,7 @@
             Ok(unit) => unit,
             Err(reason) => {
                 let outcome = HomeOutcome::NotSent(reason);
-                self.record_outcome(&statement, &outcome, began);
+                self.record_outcome(&command, &outcome, began);
                 self.send(&FromHome::Ran { exchange, outcome }).await;
                 return;
             }
@@ -220,16 +213,16 @@
         let mut request = first;
         loop {
             let exchange = request.exchange;
-            let (statement, began) = (ForwardedStatement::new(&request), Instant::now());
+            let (command, began) = (ForwardedCommand::new(&request), Instant::now());
             let Some(outcome) = unit.run_for(request, &mut rx).await else {
                 return;
             };
-            self.record_outcome(&statement, &outcome, began);
-            let is_continued = matches!(
+            self.record_outcome(&command, &outcome, began);
+            let is_open = matches!(
                 &outcome,
                 HomeOutcome::Answered(answer) if answer.state != TransactionState::Idle
             );
-            if !is_continued {
+            if !is_open {
                 // Another unit may have the connection before the answer is read.
                 drop(unit);
                 self.send(&FromHome::Ran { exchange, outcome }).await;
--- a/crates/engine/src/session/floor.rs
+++ b/crates/engine/src/session/floor.rs
@@ -59,10 +59,10 @@
         if commit.group != *group.name() {
             return FloorRequirement::Unconstrained;
         }
-        let known_position = commit
+        let position = commit
             .position
             .filter(|_| commit.epoch == group.view().epoch);
-        match known_position.or_else(|| group.covering_position(commit.acknowledged)) {
+        match position.or_else(|| group.covering_position(commit.acknowledged)) {
             Some(position) => FloorRequirement::Position(position),
             None => FloorRequirement::LeaderOnly,
         }
--- a/crates/engine/src/session/offer.rs
+++ b/crates/engine/src/session/offer.rs
@@ -44,24 +44,24 @@
     until: Instant,
 ) -> Result<AcquiredConnection, Vec<FailedAcquire>> {
     let mut next = 0;
-    let mut waiting = FuturesUnordered::new();
+    let mut acquiring = FuturesUnordered::new();
     let mut failures = Vec::new();
     let mut next_at = Instant::now();
     loop {
-        if next < targets.len() && (waiting.is_empty() || Instant::now() >= next_at) {
+        if next < targets.len() && (acquiring.is_empty() || Instant::now() >= next_at) {
             let index = next;
             let target = &targets[index];
-            waiting.push(async move { (index, target.acquire(engine, claim, until).await) });
+            acquiring.push(async move { (index, target.acquire(engine, claim, until).await) });
             next += 1;
             next_at = Instant::now() + NEXT_MEMBER_DELAY;
         }
-        if waiting.is_empty() {
+        if acquiring.is_empty() {
             return Err(failures);
         }
-        let goes_on = next < targets.len() && targets[next].is_preferred;
+        let may_try_next = next < targets.len() && targets[next].is_preferred;
         tokio::select! {
             biased;
-            Some((index, result)) = waiting.next() => match result {
+            Some((index, result)) = acquiring.next() => match result {
                 Ok(connection) => return Ok(AcquiredConnection { index, connection }),
                 Err(error) => {
                     let member = targets[index].pool().member().id.clone();
@@ -69,7 +69,7 @@
                     next_at = Instant::now();
                 }
             },
-            () = sleep_until(next_at), if goes_on => {}
+            () = sleep_until(next_at), if may_try_next => {}
         }
     }
 }
@@ -91,11 +91,11 @@
     if let Some(retry_after) = shed_retry_after(failures) {
         return Err(shed_failure(retry_after));
     }
-    let crowded = failures
+    let is_exhausted = failures
         .iter()
         .any(|failure| matches!(failure.error, AcquireError::Exhausted));
     let outside = |failure: &FailedAcquire| failure.error == AcquireError::OutsideRegions;
-    Ok(match crowded {
+    Ok(match is_exhausted {
         true => FailureReason::Overloaded,
         false if failures.iter().all(outside) => FailureReason::OutsideHomeRegions,
         false => unreachable,
--- a/crates/engine/src/session/read.rs
+++ b/crates/engine/src/session/read.rs
@@ -301,8 +301,8 @@
     let reached = leader.as_ref().and_then(|at| job.group.reached_by(at));
     let sent = Instant::now();
     let running = async {
-        let put = connection.put_values(&job.claim.values).await;
-        put.map_err(RunError::Before)?;
+        let applied = connection.put_values(&job.claim.values).await;
+        applied.map_err(RunError::Before)?;
         connection.run_work(&job.id, &job.work, target.after).await
     };
     let answer = match timeout_at(job.deadlines.answer, running).await {
--- a/crates/engine/src/session/transaction/mod.rs
+++ b/crates/engine/src/session/transaction/mod.rs
@@ -217,13 +217,13 @@
             transaction.group.record_commit_sent(sent);
         }
         let awaited = run_commit(transaction, &mut open, &request.id, deadlines).await;
-        let lost = |reason: FailureReason| match open.wrote {
+        let commit_failure = |reason: FailureReason| match open.wrote {
             true => Failure::may_have_run(reason),
             false => Failure::not_run(FailureReason::TransactionLost),
         };
         let answer = awaited
             .into_answer(open.connection.pool(), sent, trace)
-            .map_err(|missing| lost(missing.reason()))?;
+            .map_err(|missing| commit_failure(missing.reason()))?;
         let signature = match answer.outcome {
             Ok(signature) => signature,
             Err(refusal) => {
--- a/crates/engine/src/session/transaction/opening.rs
+++ b/crates/engine/src/session/transaction/opening.rs
@@ -163,8 +163,8 @@
     let reached = reached.and_then(|leader| transaction.group.reached_by(leader));
     let sent = Instant::now();
     let opening = async {
-        let put = connection.put_values(&claim.values).await;
-        put.map_err(RunError::Before)?;
+        let applied = connection.put_values(&claim.values).await;
+        applied.map_err(RunError::Before)?;
         connection.run(&begin).await.map_err(RunError::Before)
     };
     let awaited = await_in_time(opening, first.deadlines.acquire).await;
@@ -202,11 +202,11 @@
         transaction.stage = Stage::Open(open);
         return Attempt::Decided(Ok(Completion::default()));
     };
-    first_statement(transaction, open, work, &first, trace).await
+    run_first_statement(transaction, open, work, &first, trace).await
 }
 
 /// Runs the first statement of a transaction that has just been opened.
-async fn first_statement(
+async fn run_first_statement(
     transaction: &mut Transaction,
     mut open: OpenTransaction,
     work: &Work,
