--- a/crates/engine/src/session/mod.rs
+++ b/crates/engine/src/session/mod.rs
@@ -14,7 +14,7 @@
 mod transaction;
 mod write;
 
-pub use limits::StatementLimits;
+pub use limits::StatementDeadlines;
 
 use crate::configuration::Route;
 use crate::engine::Engine;
@@ -29,7 +29,7 @@
 use crate::verdict::{Failure, FailureReason};
 use bytes::Bytes;
 use floor::SessionFloor;
-use limits::queue_patience;
+use limits::max_queue_wait;
 use std::collections::HashMap;
 use std::sync::Arc;
 use target::outside_home_regions;
@@ -110,14 +110,14 @@
 
     /// When an open transaction that rests is to be ended.
     pub fn idle_deadline(&self) -> Option<Instant> {
-        let rests_since = self.transaction.as_ref()?.rests_since()?;
+        let idle_since = self.transaction.as_ref()?.idle_since()?;
         let limit = self.engine.configuration()?.transaction_idle?;
-        Some(rests_since + limit)
+        Some(idle_since + limit)
     }
 
     /// Ends an open transaction that has rested too long, or for which there is no time
     /// left. The caller is told at its next statement.
-    pub fn end_transaction(&mut self, reason: FailureReason) {
+    pub fn abort_transaction(&mut self, reason: FailureReason) {
         if let Some(transaction) = &mut self.transaction {
             transaction.fail(Failure::not_run(reason));
         }
@@ -155,10 +155,10 @@
             Statement::Begin { read_only } => self.begin(*read_only, request.received),
             Statement::Commit => {
                 self.authorize(request)?;
-                trace.authorized(self.tenant_name());
-                self.end(request, true, trace).await
+                trace.set_tenant(self.tenant_name());
+                self.finish_transaction(request, true, trace).await
             }
-            Statement::Rollback => self.end(request, false, trace).await,
+            Statement::Rollback => self.finish_transaction(request, false, trace).await,
             Statement::Read { text } => self.run_text(request, Access::Read, text, trace).await,
             Statement::Write { text } => self.run_text(request, Access::Write, text, trace).await,
             Statement::Execute { name, arguments } => {
@@ -196,12 +196,12 @@
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         self.authorize(request)?;
-        trace.authorized(self.tenant_name());
+        trace.set_tenant(self.tenant_name());
         if self.transaction.is_some() {
             return self.run_in_transaction(request, access, work, trace).await;
         }
         let route = self.route()?;
-        trace.routed(&self.engine, &route);
+        trace.set_route(&self.engine, &route);
         match access {
             Access::Read => self.run_read(request, &route, work, trace).await,
             Access::Write => self.run_write(request, &route, work, trace).await,
@@ -218,12 +218,12 @@
             self.tenant = authorization::authorize(engine, &self.database, credential, now)?;
             return Ok(());
         };
-        match authorization::authorize_on(engine, transaction.route(), credential, now) {
+        match authorization::authorize_for_route(engine, transaction.route(), credential, now) {
             Ok(tenant) => self.tenant = tenant,
             Err(failure) => transaction.fail(failure),
         }
         let tenant = self.tenant.as_ref().map(|tenant| &tenant.name);
-        if transaction.is_of_another(tenant) {
+        if transaction.belongs_to_other_tenant(tenant) {
             transaction.fail(Failure::not_run(FailureReason::TransactionLost));
         }
         self.end_outside_regions();
@@ -237,7 +237,7 @@
             return;
         };
         let residency = self.residency(transaction.route());
-        let is_allowed = transaction.is_allowed(&self.engine, &residency);
+        let is_allowed = transaction.may_continue(&self.engine, &residency);
         if let (false, Some(transaction)) = (is_allowed, &mut self.transaction) {
             transaction.fail(outside_home_regions());
         }
@@ -278,12 +278,12 @@
         }
     }
 
-    /// The limits of a statement of `route` that was read at `received`.
-    fn limits(&self, route: &Route, group: &Group, received: Instant) -> StatementLimits {
-        let limits = StatementLimits::new(route, received);
+    /// The deadlines of a statement of `route` that was read at `received`.
+    fn deadlines(&self, route: &Route, group: &Group, received: Instant) -> StatementDeadlines {
+        let deadlines = StatementDeadlines::new(route, received);
         match access::is_cut_off(&self.engine, group, received) {
-            true => limits.while_cut_off(route, received),
-            false => limits,
+            true => deadlines.while_cut_off(route, received),
+            false => deadlines,
         }
     }
 
@@ -294,7 +294,7 @@
             tenant: self.tenant_name().cloned(),
             rank: route.priority,
             values: Arc::clone(&self.values),
-            patience: queue_patience(route),
+            patience: max_queue_wait(route),
         }
     }
 
@@ -307,13 +307,13 @@
     async fn permit(
         &self,
         known: Option<Permit>,
-        limits: StatementLimits,
+        deadlines: StatementDeadlines,
     ) -> Result<Permit, Failure> {
         if let Some(permit) = known.filter(|permit| permit.is_valid(Instant::now())) {
             return Ok(permit);
         }
         match &self.tenant {
-            Some(tenant) => rate::permit::acquire(&self.engine, tenant, limits.offer).await,
+            Some(tenant) => rate::permit::acquire(&self.engine, tenant, deadlines.acquire).await,
             None => Ok(Permit::UNLIMITED),
         }
     }
