--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -8,9 +8,9 @@
 use crate::group::Group;
 use crate::home::placement::Capacity;
 use crate::home::{Homes, RemoteBackEnd, placement};
-use crate::leadership::duty::Duty;
 use crate::leadership::fleet::connection_share;
 use crate::leadership::follower::TermFollower;
+use crate::leadership::promotion_lease::PromotionLease;
 use crate::leadership::vouching::Vouching;
 use crate::names::{GroupName, MemberId, NodeName, TenantName, ZoneName};
 use crate::pool::MemberPool;
@@ -131,7 +131,7 @@
     pools: Mutex<HashMap<MemberId, Arc<MemberPool>>>,
     remote_pools: Mutex<HashMap<(MemberId, Residency), Arc<MemberPool>>>,
     homes: Arc<Homes>,
-    duty: Arc<Duty>,
+    duty: Arc<PromotionLease>,
     vouching: Vouching,
     /// The lease for promotions as its holder has told it last.
     promotion_lease_told: watch::Sender<Option<LeaseRecord>>,
@@ -456,7 +456,7 @@
     }
 
     /// The lease for promotions as far as this process holds it.
-    pub(crate) fn duty(&self) -> &Arc<Duty> {
+    pub(crate) fn duty(&self) -> &Arc<PromotionLease> {
         &self.duty
     }
 
--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -26,8 +26,8 @@
 use crate::engine::Engine;
 use crate::events::{DependencyMonitor, millis};
 use crate::home::placement::Source;
-use crate::leadership::duty::Duty;
 use crate::leadership::fleet;
+use crate::leadership::promotion_lease::PromotionLease;
 use crate::link::frame::{FeedVersions, FollowedVersions, News};
 use crate::peers::declared;
 use crate::ports::{Record, RecordChanges};
@@ -297,7 +297,7 @@
 /// Learns from other processes, where there are some to learn from, until the process ends.
 ///
 /// Whoever holds `duty` follows the store itself: what others report there must reach it soon.
-pub async fn follow(engine: &Engine, duty: &Duty) {
+pub async fn follow(engine: &Engine, duty: &PromotionLease) {
     let mut dependency = DependencyMonitor::new("followers");
     let mut search = Search::default();
     settle(engine).await;
--- a/crates/engine/src/leadership/fleet_index.rs
+++ b/crates/engine/src/leadership/fleet_index.rs
@@ -6,7 +6,7 @@
 //! the others, and with where the holder itself answers. A process that starts reads only that, and
 //! learns of the rest from these.
 
-use super::duty::Duty;
+use super::promotion_lease::PromotionLease;
 use crate::encoding;
 use crate::engine::Engine;
 use crate::following;
@@ -62,10 +62,10 @@
 }
 
 /// Keeps the record while this process holds the lease for promotions.
-pub async fn keep(engine: &Engine, duty: &Duty) {
+pub async fn keep(engine: &Engine, lease: &PromotionLease) {
     loop {
         sleep(COMPARE_INTERVAL).await;
-        if duty.check().is_none() || !following::follows_others(engine) {
+        if lease.check().is_none() || !following::follows_others(engine) {
             continue;
         }
         let others = engine.terms().subscribe_others();
--- a/crates/engine/src/leadership/mod.rs
+++ b/crates/engine/src/leadership/mod.rs
@@ -2,13 +2,12 @@
 //! another.
 //!
 //! Every process follows the records ([`follower`]) and watches the leaders that it uses
-//! ([`suspicion`]). One of them holds the lease for promotions ([`duty`]); it acts on its
+//! ([`suspicion`]). One of them holds the lease for promotions ([`promotion_lease`]); it acts on its
 //! own suspicions and on those that the others have recorded, and changes a leader by the
 //! steps of [`promotion`].
 
 pub mod access;
 pub mod choice;
-pub mod duty;
 pub mod evacuating;
 pub mod fleet;
 mod fleet_index;
@@ -16,6 +15,7 @@
 pub mod freshness;
 pub(crate) mod lease_records;
 pub mod promotion;
+pub mod promotion_lease;
 pub mod record;
 mod report;
 mod rewriting;
@@ -45,19 +45,19 @@
 
 /// Follows, watches and changes leaderships until the process ends.
 pub async fn run(engine: Arc<Engine>, promoter: Arc<dyn Promoter>) {
-    let duty = Arc::clone(engine.duty());
+    let lease = Arc::clone(engine.duty());
     tokio::join!(
         engine.terms().follow(&engine),
         learn_first_leaders(&engine),
-        duty.pursue(&engine),
-        watcher::watch(&engine, &promoter, &duty),
+        lease.pursue(&engine),
+        watcher::watch(&engine, &promoter, &lease),
         fleet::register(&engine),
         rewriting::rewrite_lost(&engine),
-        roster::keep(&engine, &duty),
+        roster::keep(&engine, &lease),
         fleet::follow(&engine),
-        fleet_index::keep(&engine, &duty),
+        fleet_index::keep(&engine, &lease),
         vouching::keep(&engine),
-        following::follow(&engine, &duty),
+        following::follow(&engine, &lease),
         follow_directory(&engine),
         end_lapses(&engine),
         rate::run(&engine),
--- a/crates/engine/src/leadership/promotion.rs
+++ b/crates/engine/src/leadership/promotion.rs
@@ -15,8 +15,8 @@
 //! paused in vain would have to be resumed, and a late order to resume breaks a fence.
 
 use super::choice::{FenceSurvey, PreviousLeader, fencing_term};
-use super::duty::Duty;
 use super::follower::VersionedTerm;
+use super::promotion_lease::PromotionLease;
 use super::record::{TermPhase, TermRecord};
 use super::roster;
 use super::survey::{self, Patience, Response, Surveyed};
@@ -75,7 +75,7 @@
     /// Carries the order out.
     pub promoter: Arc<dyn Promoter>,
     /// The lease under which orders are given.
-    pub duty: Arc<Duty>,
+    pub lease: Arc<PromotionLease>,
     /// The group.
     pub group: GroupName,
 }
@@ -144,7 +144,7 @@
         let sync_replicas = self.engine.sync_replicas(&self.group);
         self.recall_members().await?;
         loop {
-            self.check_duty()?;
+            self.check_lease()?;
             let asked = survey::survey(
                 &self.engine,
                 &self.group,
@@ -153,7 +153,7 @@
             )
             .await;
             let fencing = fencing_term(&asked);
-            self.check_duty()?;
+            self.check_lease()?;
             let order_for = |member: &Member| match previous.is(member) {
                 true => Control::Demote(fencing),
                 false => Control::Pause(fencing),
@@ -190,7 +190,7 @@
     /// Learns of members whose entries have gone: this process may be younger than that.
     async fn recall_members(&self) -> Result<(), PromotionError> {
         while roster::recall(&self.engine, &self.group).await.is_err() {
-            self.check_duty()?;
+            self.check_lease()?;
             sleep(STORE_PAUSE).await;
         }
         Ok(())
@@ -229,7 +229,7 @@
         record: &TermRecord,
         target: &MemberId,
     ) -> Result<Result<(), PromoteError>, PromotionError> {
-        let fencing = self.duty.check().ok_or(PromotionError::LeaseLost)?;
+        let fencing = self.lease.check().ok_or(PromotionError::LeaseLost)?;
         let order = PromotionOrder {
             group: self.group.clone(),
             target: target.clone(),
@@ -303,7 +303,7 @@
         let key = TermRecord::key(&self.group);
         let value = record.encode();
         loop {
-            self.check_duty()?;
+            self.check_lease()?;
             let begun = Instant::now();
             let put = self
                 .engine
@@ -346,8 +346,8 @@
             .ok_or(PromotionError::Superseded)
     }
 
-    pub(super) fn check_duty(&self) -> Result<(), PromotionError> {
-        let held = self.duty.check();
+    pub(super) fn check_lease(&self) -> Result<(), PromotionError> {
+        let held = self.lease.check();
         held.map(|_| ()).ok_or(PromotionError::LeaseLost)
     }
 }
--- a/crates/engine/src/leadership/duty.rs
+++ b/crates/engine/src/leadership/promotion_lease.rs
@@ -58,7 +58,7 @@
 
 /// The lease as far as this process holds it.
 #[derive(Debug)]
-pub struct Duty {
+pub struct PromotionLease {
     clock: RuntimeClock,
     lease: Mutex<Option<Lease>>,
     /// Until when this process wants the lease although others come first.
@@ -67,7 +67,7 @@
     holding: watch::Sender<Option<FencingNumber>>,
 }
 
-impl Default for Duty {
+impl Default for PromotionLease {
     fn default() -> Self {
         Self {
             clock: RuntimeClock {
@@ -80,7 +80,7 @@
     }
 }
 
-impl Duty {
+impl PromotionLease {
     /// The number that an order must carry, if the lease is held now. To be called again
     /// directly before each order.
     pub fn check(&self) -> Option<FencingNumber> {
--- a/crates/engine/src/leadership/roster.rs
+++ b/crates/engine/src/leadership/roster.rs
@@ -7,7 +7,7 @@
 //! each group's members, gone ones included for as long as they are remembered, and a
 //! promotion reads it before it asks the members.
 
-use super::duty::Duty;
+use super::promotion_lease::PromotionLease;
 use crate::directory::{Departure, Member, MemberState, Role};
 use crate::encoding;
 use crate::engine::Engine;
@@ -75,12 +75,12 @@
 type NewGroups = HashMap<GroupName, (Roster, Instant)>;
 
 /// Keeps the records while this process holds the lease.
-pub async fn keep(engine: &Engine, duty: &Duty) {
+pub async fn keep(engine: &Engine, lease: &PromotionLease) {
     let mut new_groups = NewGroups::new();
     let mut compared = None;
     loop {
         sleep(COMPARE_INTERVAL).await;
-        if duty.check().is_none() {
+        if lease.check().is_none() {
             continue;
         }
         let versions = (
--- a/crates/engine/src/leadership/settling.rs
+++ b/crates/engine/src/leadership/settling.rs
@@ -25,7 +25,7 @@
         let target = target.clone();
         tokio::spawn(async move {
             for _ in 0..SETTLING_ROUNDS {
-                if this.duty.check().is_none() || this.settle_once(&target).await {
+                if this.lease.check().is_none() || this.settle_once(&target).await {
                     return;
                 }
                 sleep(SETTLING_PAUSE).await;
@@ -67,7 +67,7 @@
     async fn give(&self, member: &Arc<Member>, control: Control) {
         let (Some(term), true) = (
             self.engine.terms().known(&self.group),
-            self.duty.check().is_some(),
+            self.lease.check().is_some(),
         ) else {
             return;
         };
--- a/crates/engine/src/leadership/watcher.rs
+++ b/crates/engine/src/leadership/watcher.rs
@@ -1,8 +1,8 @@
 //! Watches the leaders of all groups; the holder of the lease acts, the others report.
 
-use super::duty::Duty;
 use super::evacuating;
 use super::promotion::{Promotion, PromotionError};
+use super::promotion_lease::PromotionLease;
 use super::record::TermPhase;
 use super::report;
 use super::suspicion::{self, Suspicion};
@@ -54,16 +54,20 @@
 struct Watcher {
     engine: Arc<Engine>,
     promoter: Arc<dyn Promoter>,
-    duty: Arc<Duty>,
+    lease: Arc<PromotionLease>,
     memory: Arc<Mutex<Memory>>,
 }
 
 /// Watches until the process ends.
-pub async fn watch(engine: &Arc<Engine>, promoter: &Arc<dyn Promoter>, duty: &Arc<Duty>) {
+pub async fn watch(
+    engine: &Arc<Engine>,
+    promoter: &Arc<dyn Promoter>,
+    lease: &Arc<PromotionLease>,
+) {
     let watcher = Watcher {
         engine: Arc::clone(engine),
         promoter: Arc::clone(promoter),
-        duty: Arc::clone(duty),
+        lease: Arc::clone(lease),
         memory: Arc::default(),
     };
     let reports = watcher.clone();
@@ -78,8 +82,8 @@
     /// Looks at the groups about which there is anything to be done. The holder of the lease
     /// looks at all; any other process at those of the members that it uses.
     fn look_around(&self) {
-        let holds_duty = self.duty.check().is_some();
-        let mut names = match holds_duty {
+        let holds_lease = self.lease.check().is_some();
+        let mut names = match holds_lease {
             true => self.engine.configured_groups(),
             false => {
                 let pools = self.engine.pools();
@@ -89,19 +93,19 @@
         };
         names.sort();
         names.dedup();
-        if holds_duty {
+        if holds_lease {
             self.memory().moves_at_once = evacuating::moves_at_once(&self.engine, &names);
         }
         for name in names {
-            if self.is_due(&name, holds_duty) {
+            if self.is_due(&name, holds_lease) {
                 self.look_at(name);
             }
         }
     }
 
     /// Whether a look at the group could lead to anything.
-    fn is_due(&self, name: &GroupName, holds_duty: bool) -> bool {
-        if holds_duty && (self.is_unfinished(name) || evacuating::is_wanted(&self.engine, name)) {
+    fn is_due(&self, name: &GroupName, holds_lease: bool) -> bool {
+        if holds_lease && (self.is_unfinished(name) || evacuating::is_wanted(&self.engine, name)) {
             return true;
         }
         let group = self.engine.group(name);
@@ -134,8 +138,8 @@
     }
 
     async fn look(&self, group: &Group) {
-        let holds_duty = self.duty.check().is_some();
-        if holds_duty && self.is_unfinished(group.name()) {
+        let holds_lease = self.lease.check().is_some();
+        if holds_lease && self.is_unfinished(group.name()) {
             self.promote(group.name()).await;
             return;
         }
@@ -145,12 +149,12 @@
         }
         let began = Instant::now();
         let reporters = self.reporters(group.name(), view.epoch);
-        let asked_to = holds_duty && reporters > 0;
+        let asked_to = holds_lease && reporters > 0;
         let verified = suspicion::verified_suspicion(&self.engine, group, &view, asked_to).await;
         let needed = REPORTERS_NEEDED.max(self.engine.watchers(group.name()).div_ceil(3));
         let outvoted = reporters >= needed;
         let mut suspicion = verified.or(outvoted.then_some(Suspicion::Unreachable));
-        if suspicion.is_none() && holds_duty && self.may_move(group.name()).await {
+        if suspicion.is_none() && holds_lease && self.may_move(group.name()).await {
             suspicion = Some(Suspicion::ZoneEvacuated);
         }
         let (Some(suspicion), Some(leader)) = (suspicion, view.leader) else {
@@ -176,10 +180,10 @@
             evidence: suspicion.name(),
             since_ms: millis(began.elapsed()),
         });
-        if self.duty.check().is_some() {
+        if self.lease.check().is_some() {
             self.promote(group.name()).await;
         } else if self.engine.watches(&leader) {
-            self.duty.want();
+            self.lease.want();
             self.report(group.name(), view.epoch, suspicion).await;
             sleep(REPORTED_PAUSE).await;
         }
@@ -217,7 +221,7 @@
         let promotion = Promotion {
             engine: Arc::clone(&self.engine),
             promoter: Arc::clone(&self.promoter),
-            duty: Arc::clone(&self.duty),
+            lease: Arc::clone(&self.lease),
             group: group.clone(),
         };
         // The record may have changed unseen.
