--- a/crates/engine/src/leadership/mod.rs
+++ b/crates/engine/src/leadership/mod.rs
@@ -49,7 +49,7 @@
     tokio::join!(
         engine.terms().follow(&engine),
         learn_first_leaders(&engine),
-        lease.pursue(&engine),
+        lease.run(&engine),
         watcher::watch(&engine, &promoter, &lease),
         fleet::register(&engine),
         rewriting::rewrite_lost(&engine),
--- a/crates/engine/src/leadership/promotion_lease.rs
+++ b/crates/engine/src/leadership/promotion_lease.rs
@@ -31,16 +31,16 @@
 /// Interval in which a candidate looks at the lease of another.
 const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Interval in which any other process asks itself whether it is to pursue it.
-const BYSTANDER_PAUSE: Duration = Duration::from_millis(300);
+const NON_CANDIDATE_INTERVAL: Duration = Duration::from_millis(300);
 /// How long a suspicion makes a process pursue it.
-const WANTED_FOR: Duration = Duration::from_secs(6);
+const CANDIDACY_DURATION: Duration = Duration::from_secs(6);
 /// Time without a further renewal after which a candidate reads the lease although it was told
 /// of it: the holder may have stopped between a renewal and telling of it, and the lease counts
 /// from that one.
-const OVERDUE_AFTER: Duration = Duration::from_millis(500);
+const RENEWAL_OVERDUE: Duration = Duration::from_millis(500);
 /// Time by which each further candidate that was told of the lease lets the one before it go
 /// first: many times what a conditional write takes.
-const TURN: Duration = Duration::from_millis(60);
+const RANK_DELAY: Duration = Duration::from_millis(60);
 /// Pause after a failure, and the random part added to waits.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
@@ -62,9 +62,9 @@
     clock: RuntimeClock,
     lease: Mutex<Option<Lease>>,
     /// Until when this process wants the lease although others come first.
-    wanted_until: Mutex<Option<Instant>>,
+    candidate_until: Mutex<Option<Instant>>,
     /// The number of the present holding, which may have lapsed.
-    holding: watch::Sender<Option<FencingNumber>>,
+    fencing: watch::Sender<Option<FencingNumber>>,
 }
 
 impl Default for PromotionLease {
@@ -74,8 +74,8 @@
                 origin: Instant::now(),
             },
             lease: Mutex::new(None),
-            wanted_until: Mutex::new(None),
-            holding: watch::Sender::new(None),
+            candidate_until: Mutex::new(None),
+            fencing: watch::Sender::new(None),
         }
     }
 }
@@ -89,23 +89,23 @@
     }
 
     /// Tells when this process takes the lease, and when it has lost it. Whether it can be relied
-    /// on is to be [checked](Duty::check).
-    pub fn subscribe_holding(&self) -> watch::Receiver<Option<FencingNumber>> {
-        self.holding.subscribe()
+    /// on is to be [checked](PromotionLease::check).
+    pub fn subscribe_fencing(&self) -> watch::Receiver<Option<FencingNumber>> {
+        self.fencing.subscribe()
     }
 
     /// Notes that a leader is suspected: should nobody hold the lease, this process takes it
     /// after those that come first had their time.
-    pub fn want(&self) {
-        let until = Instant::now() + WANTED_FOR;
-        *lock(&self.wanted_until) = Some(until);
+    pub fn become_candidate(&self) {
+        let until = Instant::now() + CANDIDACY_DURATION;
+        *lock(&self.candidate_until) = Some(until);
     }
 
     /// Whether this process is to pursue the lease: a few of the fleet always do, any other
     /// only while it suspects a leader. So the cost at the store does not grow with the fleet.
     fn is_candidate(&self, engine: &Engine) -> bool {
-        let wanted = lock(&self.wanted_until).is_some_and(|until| Instant::now() < until);
-        wanted || self.held().is_some() || fleet::rank(engine) < CANDIDATES
+        let is_temporary = lock(&self.candidate_until).is_some_and(|until| Instant::now() < until);
+        is_temporary || self.held().is_some() || fleet::rank(engine) < CANDIDATES
     }
 
     fn set(&self, engine: &Engine, lease: Option<Lease>, reason: &str) {
@@ -113,10 +113,10 @@
         let changed = held.is_some() != lease.is_some();
         let fencing = lease.as_ref().or(held.as_ref()).map(Lease::fencing);
         *held = lease;
-        let holding = held.as_ref().map(Lease::fencing);
-        self.holding.send_if_modified(|known| {
-            let is_other = *known != holding;
-            *known = holding;
+        let current = held.as_ref().map(Lease::fencing);
+        self.fencing.send_if_modified(|known| {
+            let is_other = *known != current;
+            *known = current;
             is_other
         });
         metrics::gauge!("stilequay_promotion_lease_held").set(f64::from(u8::from(held.is_some())));
@@ -130,7 +130,7 @@
     }
 
     /// Pursues the lease until the process leaves.
-    pub async fn pursue(&self, engine: &Engine) {
+    pub async fn run(&self, engine: &Engine) {
         let records = Arc::clone(engine.lease_records());
         let mut candidate = LeaseCandidate::new(
             LeaseName::new(LEASE_NAME),
@@ -142,34 +142,34 @@
         )
         .reclaiming_earlier_lives();
         let mut stop = engine.subscribe_stop();
-        let mut told = engine.promotion_lease_told().subscribe();
+        let mut announced = engine.promotion_lease_told().subscribe();
         let mut next_at = Instant::now();
         loop {
-            let is_told = tokio::select! {
+            let is_announced = tokio::select! {
                 () = sleep_until(next_at) => false,
-                Ok(()) = told.changed() => true,
+                Ok(()) = announced.changed() => true,
                 _ = stop.wait_for(|phase| *phase > StopPhase::Serving) => break,
             };
-            if !is_told {
+            if !is_announced {
                 let pause = match self.is_candidate(engine) {
-                    true => self.pursue_once(engine, &mut candidate).await,
-                    false => BYSTANDER_PAUSE,
+                    true => self.acquire_or_renew(engine, &mut candidate).await,
+                    false => NON_CANDIDATE_INTERVAL,
                 };
                 next_at = Instant::now() + pause;
                 continue;
             }
-            let record = told.borrow_and_update().clone();
+            let record = announced.borrow_and_update().clone();
             if let Some(record) = record.filter(|_| self.held().is_none()) {
-                let look_after = candidate.observe(&record).min(OVERDUE_AFTER);
-                next_at = Instant::now() + look_after + turn_of(fleet::rank(engine));
+                let retry_after = candidate.observe(&record).min(RENEWAL_OVERDUE);
+                next_at = Instant::now() + retry_after + rank_delay(fleet::rank(engine));
             }
         }
-        self.leave(engine, &candidate).await;
+        self.release_on_shutdown(engine, &candidate).await;
     }
 
     /// Gives the lease back, and tells the other candidates so: one of them has it within 0.15 s
     /// in place of 0.3 to 0.4 s, in a fleet of 21 processes in memory.
-    async fn leave(&self, engine: &Engine, candidate: &LeaseCandidate) {
+    async fn release_on_shutdown(&self, engine: &Engine, candidate: &LeaseCandidate) {
         let held = self.held();
         self.set(engine, None, "leaving");
         let Some(lease) = held else { return };
@@ -179,7 +179,7 @@
         };
         // What is not given back ends by itself.
         if candidate.release(lease).await.is_ok() {
-            tell_candidates(engine, &released).await;
+            notify_candidates(engine, &released).await;
         }
     }
 
@@ -189,13 +189,13 @@
     }
 
     /// Renews or tries to acquire; returns how long to wait before the next time.
-    async fn pursue_once(&self, engine: &Engine, candidate: &mut LeaseCandidate) -> Duration {
+    async fn acquire_or_renew(&self, engine: &Engine, candidate: &mut LeaseCandidate) -> Duration {
         match self.held() {
             Some(lease) => match candidate.renew(&lease).await {
                 Ok(renewed) => {
                     let record = renewed.record().clone();
                     self.set(engine, Some(renewed), "renewed");
-                    tell_candidates(engine, &record).await;
+                    notify_candidates(engine, &record).await;
                     RENEWAL_INTERVAL
                 }
                 Err(LeaseError::Store(_)) if self.check().is_some() => RETRY_PAUSE,
@@ -208,7 +208,7 @@
                 Ok(Acquisition::Held(lease)) => {
                     let record = lease.record().clone();
                     self.set(engine, Some(lease), "acquired");
-                    tell_candidates(engine, &record).await;
+                    notify_candidates(engine, &record).await;
                     RENEWAL_INTERVAL
                 }
                 Ok(Acquisition::Taken { retry_after }) => retry_after.min(POLL_INTERVAL) + jitter(),
@@ -221,7 +221,7 @@
 /// Tells the other candidates of the lease that this process has just written: once the holder
 /// is killed one of them has it within 1.5 s in place of 1.6 to 1.9 s, in a fleet of 21 processes
 /// in memory, and none reads it from the store meanwhile.
-async fn tell_candidates(engine: &Engine, record: &LeaseRecord) {
+async fn notify_candidates(engine: &Engine, record: &LeaseRecord) {
     let addresses = engine.homes().duty_addresses(CANDIDATES);
     let tell = |link: &Link| link.tell_promotion_lease(record);
     engine.homes().links().tell_each(addresses, tell).await;
@@ -229,9 +229,9 @@
 
 /// How long the candidate of `rank` waits for those that come before it; the first is the
 /// holder itself, as a rule.
-fn turn_of(rank: usize) -> Duration {
+fn rank_delay(rank: usize) -> Duration {
     let before = rank.saturating_sub(1).min(CANDIDATES);
-    TURN * u32::try_from(before).unwrap_or(u32::MAX)
+    RANK_DELAY * u32::try_from(before).unwrap_or(u32::MAX)
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/engine/src/leadership/vouching.rs
+++ b/crates/engine/src/leadership/vouching.rs
@@ -51,7 +51,7 @@
 /// Reads the records of terms each time this process has taken the lease: the feed may tell late
 /// what the holder before has recorded.
 pub(super) async fn keep(engine: &Engine) {
-    let mut holdings = engine.duty().subscribe_holding();
+    let mut holdings = engine.duty().subscribe_fencing();
     loop {
         let holding = *holdings.borrow_and_update();
         if let Some(holding) = holding {
--- a/crates/engine/src/leadership/watcher.rs
+++ b/crates/engine/src/leadership/watcher.rs
@@ -183,7 +183,7 @@
         if self.lease.check().is_some() {
             self.promote(group.name()).await;
         } else if self.engine.watches(&leader) {
-            self.lease.want();
+            self.lease.become_candidate();
             self.report(group.name(), view.epoch, suspicion).await;
             sleep(REPORTED_PAUSE).await;
         }
