--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -11,7 +11,7 @@
 use crate::leadership::fleet::connection_share;
 use crate::leadership::follower::TermFollower;
 use crate::leadership::promotion_lease::PromotionLease;
-use crate::leadership::vouching::Vouching;
+use crate::leadership::term_confirmation::TermConfirmation;
 use crate::names::{GroupName, MemberId, NodeName, TenantName, ZoneName};
 use crate::pool::MemberPool;
 use crate::ports::{BackEnd, PeerNetwork, RecordStore};
@@ -132,7 +132,7 @@
     remote_pools: Mutex<HashMap<(MemberId, Residency), Arc<MemberPool>>>,
     homes: Arc<Homes>,
     duty: Arc<PromotionLease>,
-    vouching: Vouching,
+    vouching: TermConfirmation,
     /// The lease for promotions as its holder has told it last.
     promotion_lease_told: watch::Sender<Option<LeaseRecord>>,
     following: Following,
@@ -167,7 +167,7 @@
             homes: Arc::new(homes),
             following,
             duty: Arc::default(),
-            vouching: Vouching::default(),
+            vouching: TermConfirmation::default(),
             promotion_lease_told: watch::Sender::new(None),
             counters: Counters::default(),
             refusals: Refusals::default(),
@@ -461,7 +461,7 @@
     }
 
     /// What vouching for the terms of leaders needs.
-    pub(crate) fn vouching(&self) -> &Vouching {
+    pub(crate) fn vouching(&self) -> &TermConfirmation {
         &self.vouching
     }
 
--- a/crates/engine/src/leadership/access.rs
+++ b/crates/engine/src/leadership/access.rs
@@ -4,7 +4,7 @@
 use crate::following;
 use crate::group::{Epoch, Group, UsableLeader};
 use crate::home;
-use crate::leadership::vouching;
+use crate::leadership::term_confirmation;
 use crate::peers;
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
@@ -112,7 +112,7 @@
     if home::ask_keeper(engine, group).await {
         return;
     }
-    if vouching::renew(engine, group).await {
+    if term_confirmation::renew(engine, group).await {
         return;
     }
     // A failure is told by the task that follows the records.
--- a/crates/engine/src/leadership/mod.rs
+++ b/crates/engine/src/leadership/mod.rs
@@ -24,7 +24,7 @@
 pub mod survey;
 pub mod suspicion;
 mod telling;
-pub(crate) mod vouching;
+pub(crate) mod term_confirmation;
 mod watcher;
 
 use crate::engine::Engine;
@@ -56,7 +56,7 @@
         roster::keep(&engine, &lease),
         fleet::follow(&engine),
         fleet_index::keep(&engine, &lease),
-        vouching::keep(&engine),
+        term_confirmation::maintain(&engine),
         following::follow(&engine, &lease),
         follow_directory(&engine),
         end_lapses(&engine),
--- a/crates/engine/src/leadership/vouching.rs
+++ b/crates/engine/src/leadership/term_confirmation.rs
@@ -21,42 +21,42 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 /// How long a process that did not vouch is not asked again: about half of what it takes until
 /// a lost holder has a successor.
-const DOUBT: Duration = Duration::from_millis(700);
+const BACKOFF: Duration = Duration::from_millis(700);
 /// Pause before a new holder reads the records again after a failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// What a process needs to vouch, or to ask who does.
 #[derive(Debug, Default)]
-pub struct Vouching {
+pub struct TermConfirmation {
     /// The holding of the lease for which this process knows all records of terms.
-    complete_for: Mutex<Option<FencingNumber>>,
+    complete_for_fencing: Mutex<Option<FencingNumber>>,
     /// Held while the holder is asked: its answer is for all groups.
-    asking: AsyncMutex<()>,
+    request_lock: AsyncMutex<()>,
     /// Who did not vouch when it was asked last, and until when it is not asked again.
-    doubted: Mutex<Option<(SocketAddr, Instant)>>,
+    backoff: Mutex<Option<(SocketAddr, Instant)>>,
 }
 
-impl Vouching {
-    fn is_doubted(&self, address: SocketAddr) -> bool {
+impl TermConfirmation {
+    fn is_backing_off(&self, address: SocketAddr) -> bool {
         let now = Instant::now();
-        let doubted = *lock(&self.doubted);
-        doubted.is_some_and(|(known, until)| known == address && now < until)
+        let backoff = *lock(&self.backoff);
+        backoff.is_some_and(|(known, until)| known == address && now < until)
     }
 
-    fn doubt(&self, address: SocketAddr) {
-        *lock(&self.doubted) = Some((address, Instant::now() + DOUBT));
+    fn back_off(&self, address: SocketAddr) {
+        *lock(&self.backoff) = Some((address, Instant::now() + BACKOFF));
     }
 }
 
 /// Reads the records of terms each time this process has taken the lease: the feed may tell late
 /// what the holder before has recorded.
-pub(super) async fn keep(engine: &Engine) {
-    let mut holdings = engine.duty().subscribe_fencing();
+pub(super) async fn maintain(engine: &Engine) {
+    let mut fencing_changes = engine.duty().subscribe_fencing();
     loop {
-        let holding = *holdings.borrow_and_update();
-        if let Some(holding) = holding {
+        let fencing = *fencing_changes.borrow_and_update();
+        if let Some(fencing) = fencing {
             match engine.terms().read_terms(engine).await {
-                Ok(()) => *lock(&engine.vouching().complete_for) = Some(holding),
+                Ok(()) => *lock(&engine.vouching().complete_for_fencing) = Some(fencing),
                 Err(error) => {
                     log::warn!("the records of terms were not read: {error}");
                     sleep(RETRY_PAUSE).await;
@@ -64,7 +64,7 @@
                 }
             }
         }
-        if holdings.changed().await.is_err() {
+        if fencing_changes.changed().await.is_err() {
             return;
         }
     }
@@ -73,16 +73,16 @@
 /// The version of the newest record of a term; `None` unless this process holds the lease and
 /// knows all that was recorded before.
 pub(crate) fn newest_term(engine: &Engine) -> Option<StoreVersion> {
-    let holding = engine.duty().check()?;
-    let complete_for = *lock(&engine.vouching().complete_for);
-    (complete_for == Some(holding)).then(|| engine.terms().newest_term())
+    let fencing = engine.duty().check()?;
+    let complete_for_fencing = *lock(&engine.vouching().complete_for_fencing);
+    (complete_for_fencing == Some(fencing)).then(|| engine.terms().newest_term())
 }
 
 /// Renews the evidence for the leader of `group`, and for those of its block, by what the holder
 /// of the lease vouches for; returns whether that was enough.
 pub(crate) async fn renew(engine: &Engine, group: &Group) -> bool {
     let since = Instant::now();
-    let _one_at_a_time = engine.vouching().asking.lock().await;
+    let _one_at_a_time = engine.vouching().request_lock.lock().await;
     if group.evidence() >= Some(since) {
         return true;
     }
@@ -108,8 +108,8 @@
         return Some(newest);
     }
     let holder = holder_address(engine)?;
-    let vouching = engine.vouching();
-    if vouching.is_doubted(holder) {
+    let confirmation = engine.vouching();
+    if confirmation.is_backing_off(holder) {
         return None;
     }
     let answered = timeout(ANSWER_TIMEOUT, async {
@@ -118,7 +118,7 @@
     });
     let newest = answered.await.ok().flatten();
     if newest.is_none() {
-        vouching.doubt(holder);
+        confirmation.back_off(holder);
     }
     newest
 }
--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -7,7 +7,7 @@
 use crate::home::unit::Unit;
 use crate::leadership::access::renew_evidence;
 use crate::leadership::freshness;
-use crate::leadership::vouching;
+use crate::leadership::term_confirmation;
 use crate::link::frame::{
     FromHome, HomeOutcome, RunRequest, ToHome, UnitId, Wanted, decode, encode, encode_in_parts,
 };
@@ -140,7 +140,7 @@
                     .send_replace(Some(*record));
             }
             Some(ToHome::AskNewestTerm { exchange }) => {
-                let version = vouching::newest_term(&task.engine);
+                let version = term_confirmation::newest_term(&task.engine);
                 task.tell(&FromHome::NewestTerm { exchange, version }).await;
             }
             Some(ToHome::Ping) => task.tell(&FromHome::Pong).await,
@@ -258,7 +258,7 @@
         if !is_recent(group.evidence(), EVIDENCE_AGE) {
             match wanted {
                 Wanted::StoreEvidence => {
-                    if !vouching::renew(&self.engine, group).await {
+                    if !term_confirmation::renew(&self.engine, group).await {
                         // A failure is told by the task that follows the records.
                         let _ = self.engine.terms().refresh(&self.engine, group, now).await;
                     }
