--- a/crates/engine/src/leadership/evacuating.rs
+++ b/crates/engine/src/leadership/leader_evacuation.rs
@@ -27,50 +27,50 @@
 }
 
 /// Whether the leader of `group` is to be replaced since its zone is evacuated.
-pub fn is_wanted(engine: &Engine, group: &GroupName) -> bool {
-    let leader = leader_there(engine, group);
+pub fn should_move_leader(engine: &Engine, group: &GroupName) -> bool {
+    let leader = leader_in_evacuated_zone(engine, group);
     leader.is_some_and(|leader| has_successor(engine, &leader))
 }
 
 /// The leader of `group`, if it stands in an evacuated zone.
-pub fn leader_there(engine: &Engine, group: &GroupName) -> Option<Arc<Member>> {
+pub fn leader_in_evacuated_zone(engine: &Engine, group: &GroupName) -> Option<Arc<Member>> {
     if engine.evacuations().zones.is_empty() {
         return None;
     }
     let leader = engine.group(group).view().leader?;
     let directory = engine.directory();
     let member = directory.member(&leader)?;
-    let is_there = engine.evacuation_schedule().is_evacuated(&member.zone);
-    is_there.then(|| Arc::clone(member))
+    let is_evacuated = engine.evacuation_schedule().is_evacuated(&member.zone);
+    is_evacuated.then(|| Arc::clone(member))
 }
 
 /// How many leaders of `groups` are to be replaced at a time now.
-pub fn moves_at_once(engine: &Engine, groups: &[GroupName]) -> usize {
-    let wanted = groups.iter().filter_map(|group| {
-        let leader = leader_there(engine, group)?;
+pub fn max_concurrent_moves(engine: &Engine, groups: &[GroupName]) -> usize {
+    let to_move = groups.iter().filter_map(|group| {
+        let leader = leader_in_evacuated_zone(engine, group)?;
         has_successor(engine, &leader).then_some(leader)
     });
-    let closings = wanted.filter_map(|leader| {
+    let closings = to_move.filter_map(|leader| {
         let schedule = engine.evacuation_schedule();
         schedule.closes_at(&leader.zone, Sender::Session)
     });
     let closings: Vec<Instant> = closings.collect();
     let soonest = closings.iter().min().copied().unwrap_or_else(Instant::now);
-    let left = soonest.saturating_duration_since(Instant::now());
-    abreast(closings.len(), left)
+    let time_left = soonest.saturating_duration_since(Instant::now());
+    required_concurrency(closings.len(), time_left)
 }
 
 /// How many of `changes` have to run side by side so that the last of them begins within
-/// `left`; all of them where there is no time. One that has begun costs no more for ending
+/// `time_left`; all of them where there is no time. One that has begun costs no more for ending
 /// later: its old leader gets nothing more.
-pub fn abreast(changes: usize, left: Duration) -> usize {
-    let rounds = left.as_millis().div_ceil(MOVE_TIME.as_millis()) as usize;
+pub fn required_concurrency(changes: usize, time_left: Duration) -> usize {
+    let rounds = time_left.as_millis().div_ceil(MOVE_TIME.as_millis()) as usize;
     changes.div_ceil(rounds.max(1))
 }
 
 /// Whether a member of `group` outside evacuated zones answers that it is no further behind
 /// than the others: a fence would choose it.
-pub async fn successor_answers(engine: &Engine, group: &GroupName) -> bool {
+pub async fn has_caught_up_successor(engine: &Engine, group: &GroupName) -> bool {
     let patience = Patience::ONE_LIKELY_LOST;
     let members = survey::survey(engine, group, |_| Control::Status, patience).await;
     let replicas = members.iter().filter(|member| member.is_replica());
--- a/crates/engine/src/leadership/mod.rs
+++ b/crates/engine/src/leadership/mod.rs
@@ -8,11 +8,11 @@
 
 pub mod access;
 pub mod choice;
-pub mod evacuating;
 pub mod fleet;
 mod fleet_index;
 pub mod follower;
 pub mod freshness;
+pub mod leader_evacuation;
 pub(crate) mod lease_records;
 pub mod promotion;
 pub mod promotion_lease;
--- a/crates/engine/src/leadership/watcher.rs
+++ b/crates/engine/src/leadership/watcher.rs
@@ -1,6 +1,6 @@
 //! Watches the leaders of all groups; the holder of the lease acts, the others report.
 
-use super::evacuating;
+use super::leader_evacuation;
 use super::promotion::{Promotion, PromotionError};
 use super::promotion_lease::PromotionLease;
 use super::record::TermPhase;
@@ -44,7 +44,7 @@
     /// Groups whose leaders are being moved out of evacuated zones.
     moving: HashSet<GroupName>,
     /// How many of these there may be.
-    moves_at_once: usize,
+    max_concurrent_moves: usize,
     /// Others' suspicions, by group: who, of which epoch, and when this was learned.
     reports: HashMap<GroupName, HashMap<NodeName, (Epoch, Instant)>>,
 }
@@ -94,7 +94,8 @@
         names.sort();
         names.dedup();
         if holds_lease {
-            self.memory().moves_at_once = evacuating::moves_at_once(&self.engine, &names);
+            self.memory().max_concurrent_moves =
+                leader_evacuation::max_concurrent_moves(&self.engine, &names);
         }
         for name in names {
             if self.is_due(&name, holds_lease) {
@@ -105,7 +106,10 @@
 
     /// Whether a look at the group could lead to anything.
     fn is_due(&self, name: &GroupName, holds_lease: bool) -> bool {
-        if holds_lease && (self.is_unfinished(name) || evacuating::is_wanted(&self.engine, name)) {
+        if holds_lease
+            && (self.is_unfinished(name)
+                || leader_evacuation::should_move_leader(&self.engine, name))
+        {
             return true;
         }
         let group = self.engine.group(name);
@@ -154,7 +158,7 @@
         let needed = REPORTERS_NEEDED.max(self.engine.watchers(group.name()).div_ceil(3));
         let outvoted = reporters >= needed;
         let mut suspicion = verified.or(outvoted.then_some(Suspicion::Unreachable));
-        if suspicion.is_none() && holds_lease && self.may_move(group.name()).await {
+        if suspicion.is_none() && holds_lease && self.try_start_move(group.name()).await {
             suspicion = Some(Suspicion::ZoneEvacuated);
         }
         let (Some(suspicion), Some(leader)) = (suspicion, view.leader) else {
@@ -191,18 +195,18 @@
 
     /// Whether the leader is to be moved out of an evacuated zone now: few groups at a time
     /// are without a leader for it.
-    async fn may_move(&self, group: &GroupName) -> bool {
-        if !evacuating::is_wanted(&self.engine, group) {
+    async fn try_start_move(&self, group: &GroupName) -> bool {
+        if !leader_evacuation::should_move_leader(&self.engine, group) {
             return false;
         }
         {
             let mut memory = self.memory();
-            if memory.moving.len() >= memory.moves_at_once {
+            if memory.moving.len() >= memory.max_concurrent_moves {
                 return false;
             }
             memory.moving.insert(group.clone());
         }
-        let answers = evacuating::successor_answers(&self.engine, group).await;
+        let answers = leader_evacuation::has_caught_up_successor(&self.engine, group).await;
         if !answers {
             // Another group may move meanwhile.
             self.memory().moving.remove(group);
--- a/crates/engine/src/session/evacuated.rs
+++ b/crates/engine/src/session/evacuated.rs
@@ -4,7 +4,7 @@
 use crate::engine::Engine;
 use crate::evacuation::{MayNotSend, Sender};
 use crate::group::Group;
-use crate::leadership::evacuating;
+use crate::leadership::leader_evacuation;
 use crate::residency::Residency;
 use crate::verdict::{Failure, FailureReason};
 use tokio::time::Instant;
@@ -45,7 +45,7 @@
     match schedule.check(&member.zone, Sender::Session, Instant::now()) {
         Ok(()) => Ok(()),
         Err(MayNotSend::Unproven) => Err(refusal(MayNotSend::Unproven)),
-        Err(MayNotSend::Evacuated) => match evacuating::has_successor(engine, member) {
+        Err(MayNotSend::Evacuated) => match leader_evacuation::has_successor(engine, member) {
             true => Ok(()),
             false => Err(refusal(MayNotSend::Evacuated)),
         },
--- a/crates/engine/src/telemetry.rs
+++ b/crates/engine/src/telemetry.rs
@@ -2,7 +2,7 @@
 //! things happen; gauges are read when somebody asks for the metrics.
 
 use crate::engine::Engine;
-use crate::leadership::evacuating;
+use crate::leadership::leader_evacuation;
 use tokio::time::Instant;
 
 /// What a metric is.
@@ -244,7 +244,7 @@
     let groups = engine.directory().groups();
     let there = groups
         .iter()
-        .filter(|group| evacuating::leader_there(engine, group).is_some());
+        .filter(|group| leader_evacuation::leader_in_evacuated_zone(engine, group).is_some());
     metrics::gauge!("stilequay_evacuated_leaders").set(there.count() as f64);
 }
 
--- a/crates/engine/tests/evacuation_schedule.rs
+++ b/crates/engine/tests/evacuation_schedule.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use stilequay_engine::evacuation::{MayNotSend, Schedule, Sender};
 use stilequay_engine::events::Event;
-use stilequay_engine::leadership::evacuating::abreast;
+use stilequay_engine::leadership::leader_evacuation::required_concurrency;
 use tokio::sync::watch;
 use tokio::time::{Instant, advance};
 
@@ -98,7 +98,10 @@
     #[case] left_ms: u64,
     #[case] expected: usize,
 ) {
-    assert_eq!(abreast(changes, Duration::from_millis(left_ms)), expected);
+    assert_eq!(
+        required_concurrency(changes, Duration::from_millis(left_ms)),
+        expected
+    );
 }
 
 /// Whoever reads logs relies on the fields.
