--- a/crates/engine/src/leadership/choice.rs
+++ b/crates/engine/src/leadership/choice.rs
@@ -6,7 +6,7 @@
 //! them were read; and a replica that has received as much as the old leader does so in
 //! any case.
 
-use super::survey::{Response, Surveyed};
+use super::survey::{Response, SurveyedMember};
 use crate::directory::{Member, Role};
 use crate::evacuation::Evacuations;
 use crate::names::{MemberId, are_lives_of_one};
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub struct FenceSurvey<'a> {
     /// All members.
-    pub members: &'a [Surveyed],
+    pub members: &'a [SurveyedMember],
     /// The old leader.
     pub previous: &'a PreviousLeader,
     /// The term in whose name the others were paused.
@@ -128,7 +128,7 @@
     fn check_fence(&self, now: Instant) -> Result<(), Obstacle> {
         let unfenced = self.others(now).find(|member| match &member.response {
             Response::Report(report) => report.paused_for < self.term,
-            Response::Down(_) | Response::Ended => false,
+            Response::Down(_) | Response::RestartedEmpty => false,
             Response::Declined(_) | Response::Silent(_) => true,
         });
         match unfenced {
@@ -202,26 +202,26 @@
     }
 
     /// Members other than the old leader that have not left.
-    fn others(&self, now: Instant) -> impl Iterator<Item = &Surveyed> {
+    fn others(&self, now: Instant) -> impl Iterator<Item = &SurveyedMember> {
         let members = self.members.iter();
         members.filter(move |member| !self.is_previous(member) && !member.has_left(now))
     }
 
     /// Whether `member` stands in the old leader's region, as far as that is known.
-    fn is_near_previous(&self, member: &Surveyed) -> bool {
-        let region = |member: &Surveyed| self.topology.region_of(&member.member.zone);
+    fn is_near_previous(&self, member: &SurveyedMember) -> bool {
+        let region = |member: &SurveyedMember| self.topology.region_of(&member.member.zone);
         let mut old = self.members.iter().filter(|other| self.is_previous(other));
         old.any(|old| region(old).is_some() && region(old) == region(member))
     }
 
-    fn is_previous(&self, member: &Surveyed) -> bool {
+    fn is_previous(&self, member: &SurveyedMember) -> bool {
         self.previous.is(&member.member)
     }
 }
 
 /// A term above every one that any member has told of: orders in its name are heeded.
 /// A fence that was begun before is completed in the same name.
-pub fn fencing_term(members: &[Surveyed]) -> Term {
+pub fn fencing_term(members: &[SurveyedMember]) -> Term {
     let reports = members.iter().filter_map(|member| member.response.report());
     let terms = reports.map(|report| (report.term + 1).max(report.paused_for));
     terms.max().unwrap_or(1)
--- a/crates/engine/src/leadership/freshness.rs
+++ b/crates/engine/src/leadership/freshness.rs
@@ -1,6 +1,6 @@
 //! Learning a position that covers a moment, where the traffic has not brought one.
 
-use super::survey::{self, Patience, Response, Surveyed};
+use super::survey::{self, Response, StragglerPolicy, SurveyedMember};
 use crate::directory::Member;
 use crate::engine::Engine;
 use crate::evacuation::Sender;
@@ -66,7 +66,7 @@
         return;
     }
     let sent = Instant::now();
-    let patience = Patience::ONE_LIKELY_LOST;
+    let stragglers = StragglerPolicy::SKIP_ONE_STRAGGLER;
     let members = engine.directory().members_of(group.name());
     let schedule = engine.evacuation_schedule();
     let may_ask = |member: &Arc<Member>| {
@@ -74,8 +74,8 @@
         checked.is_ok()
     };
     let (asked, held_back): (Vec<_>, Vec<_>) = members.into_iter().partition(may_ask);
-    let mut members = survey::survey_members(engine, asked, |_| Control::Status, patience).await;
-    members.extend(held_back.into_iter().map(|member| Surveyed {
+    let mut members = survey::survey_members(engine, asked, |_| Control::Status, stragglers).await;
+    members.extend(held_back.into_iter().map(|member| SurveyedMember {
         member,
         response: Response::Silent("not asked any more".to_owned()),
     }));
@@ -83,7 +83,7 @@
     let silent = members.iter().filter(|member| {
         let answered = member.response.report().is_some();
         // A life that has ended took its log along, however long ago: nobody tells how far it was.
-        let has_left = member.has_left(sent) && member.response != Response::Ended;
+        let has_left = member.has_left(sent) && member.response != Response::RestartedEmpty;
         !answered && !has_left && !is_succeeded(member, &members)
     });
     if silent.count() <= engine.sync_replicas(group.name())
@@ -94,8 +94,8 @@
 }
 
 /// Whether another server has come back in the member's place, with its log.
-fn is_succeeded(member: &Surveyed, members: &[Surveyed]) -> bool {
-    let in_place = |other: &Surveyed| {
+fn is_succeeded(member: &SurveyedMember, members: &[SurveyedMember]) -> bool {
+    let in_place = |other: &SurveyedMember| {
         let is_other = other.member.id != member.member.id
             && !are_lives_of_one(&other.member.id, &member.member.id);
         is_other && other.member.address == member.member.address
--- a/crates/engine/src/leadership/leader_evacuation.rs
+++ b/crates/engine/src/leadership/leader_evacuation.rs
@@ -3,7 +3,7 @@
 //! A leader there is replaced as one that leaves: fenced while it lives. Each change is a gap
 //! in its group's writes, so only as many run side by side as have to.
 
-use super::survey::{self, Patience, Surveyed};
+use super::survey::{self, StragglerPolicy, SurveyedMember};
 use crate::directory::Member;
 use crate::engine::Engine;
 use crate::evacuation::Sender;
@@ -71,10 +71,10 @@
 /// Whether a member of `group` outside evacuated zones answers that it is no further behind
 /// than the others: a fence would choose it.
 pub async fn has_caught_up_successor(engine: &Engine, group: &GroupName) -> bool {
-    let patience = Patience::ONE_LIKELY_LOST;
-    let members = survey::survey(engine, group, |_| Control::Status, patience).await;
+    let stragglers = StragglerPolicy::SKIP_ONE_STRAGGLER;
+    let members = survey::survey(engine, group, |_| Control::Status, stragglers).await;
     let replicas = members.iter().filter(|member| member.is_replica());
-    let received = |member: &Surveyed| member.response.report().map(|report| report.received);
+    let received = |member: &SurveyedMember| member.response.report().map(|report| report.received);
     let most = replicas.clone().map(received).max().flatten();
     let mut fit = replicas.filter(|replica| can_lead(engine, &replica.member));
     most.is_some() && fit.any(|replica| received(replica) == most)
--- a/crates/engine/src/leadership/promotion.rs
+++ b/crates/engine/src/leadership/promotion.rs
@@ -19,7 +19,7 @@
 use super::promotion_lease::PromotionLease;
 use super::record::{TermPhase, TermRecord};
 use super::roster;
-use super::survey::{self, Patience, Response, Surveyed};
+use super::survey::{self, Response, StragglerPolicy, SurveyedMember};
 use crate::directory::{Member, Role};
 use crate::engine::Engine;
 use crate::group::{Epoch, TERM_LEASE, TERM_LEASE_MARGIN};
@@ -149,17 +149,17 @@
                 &self.engine,
                 &self.group,
                 |_| Control::Status,
-                Patience::ONE_LIKELY_LOST,
+                StragglerPolicy::SKIP_ONE_STRAGGLER,
             )
             .await;
             let fencing = fencing_term(&asked);
             self.check_lease()?;
-            let order_for = |member: &Member| match previous.is(member) {
+            let control_for = |member: &Member| match previous.is(member) {
                 true => Control::Demote(fencing),
                 false => Control::Pause(fencing),
             };
-            let patience = Patience::ONE_LIKELY_LOST;
-            let fenced = survey::survey(&self.engine, &self.group, order_for, patience).await;
+            let stragglers = StragglerPolicy::SKIP_ONE_STRAGGLER;
+            let fenced = survey::survey(&self.engine, &self.group, control_for, stragglers).await;
             self.tell_fence(&term.record, &fenced);
             let evacuations = self.engine.evacuations();
             let survey = FenceSurvey {
@@ -259,7 +259,7 @@
         let was_paused = record.previous.as_ref() != Some(target)
             && record.previous_address != record.target_address;
         match self.ask(target).await {
-            Some(Response::Ended) => true,
+            Some(Response::RestartedEmpty) => true,
             Some(Response::Report(report)) => {
                 was_paused && report.role == Role::Replica && report.paused_for == 0
             }
@@ -270,7 +270,7 @@
     async fn ask(&self, target: &MemberId) -> Option<Response> {
         let directory = self.engine.directory();
         let member = directory.member(target)?;
-        Some(survey::order(&self.engine, member, Control::Status).await)
+        Some(survey::send_control(&self.engine, member, Control::Status).await)
     }
 
     /// Records the next step over the one of version `expected`.
@@ -353,7 +353,7 @@
 }
 
 /// How far `target` has received the log, as it told when the members were fenced.
-fn received_by(target: &MemberId, fenced: &[Surveyed]) -> Option<LogPosition> {
+fn received_by(target: &MemberId, fenced: &[SurveyedMember]) -> Option<LogPosition> {
     let chosen = fenced.iter().find(|known| known.member.id == *target)?;
     Some(chosen.response.report()?.received)
 }
--- a/crates/engine/src/leadership/settling.rs
+++ b/crates/engine/src/leadership/settling.rs
@@ -1,7 +1,7 @@
 //! After a promotion: the other members are brought to follow the new leader.
 
 use super::promotion::Promotion;
-use super::survey::{self, Patience, Response};
+use super::survey::{self, Response, StragglerPolicy};
 use crate::directory::{Member, Role};
 use crate::names::MemberId;
 use crate::ports::Control;
@@ -35,8 +35,9 @@
 
     /// Returns whether nothing is left to do.
     async fn settle_once(&self, target: &MemberId) -> bool {
-        let patience = Patience::WHOLE;
-        let asked = survey::survey(&self.engine, &self.group, |_| Control::Status, patience).await;
+        let stragglers = StragglerPolicy::WAIT_FOR_ALL;
+        let asked =
+            survey::survey(&self.engine, &self.group, |_| Control::Status, stragglers).await;
         let leader = asked.iter().find(|known| known.member.id == *target);
         let Some(leader) = leader.and_then(|known| known.response.report()) else {
             return false;
@@ -71,7 +72,7 @@
         ) else {
             return;
         };
-        let response = survey::order(&self.engine, member, control).await;
+        let response = survey::send_control(&self.engine, member, control).await;
         self.tell_response(&term.record, "settle", &member.id, &response);
     }
 }
--- a/crates/engine/src/leadership/survey.rs
+++ b/crates/engine/src/leadership/survey.rs
@@ -12,10 +12,10 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 /// Longest time for one order, its connection included.
-const ORDER_TIMEOUT: Duration = Duration::from_millis(450);
+const CONTROL_TIMEOUT: Duration = Duration::from_millis(450);
 /// How long a member whose entry has gone is still asked for. One that refuses
 /// connections for all that time has left.
-const GONE_WAIT: Duration = Duration::from_secs(10);
+const GONE_MEMBER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What came of asking a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     /// has refused.
     Declined(String),
     /// Its server has started again without its log.
-    Ended,
+    RestartedEmpty,
     /// Nothing is known.
     Silent(String),
 }
@@ -45,22 +45,22 @@
 
 /// A member and what came of asking it.
 #[derive(Debug, Clone)]
-pub struct Surveyed {
+pub struct SurveyedMember {
     /// The member.
     pub member: Arc<Member>,
     /// What came of it.
     pub response: Response,
 }
 
-impl Surveyed {
+impl SurveyedMember {
     /// Whether it has left for good, as far as can be known.
     pub fn has_left(&self, now: Instant) -> bool {
         let MemberState::Gone(departure) = self.member.state else {
             return false;
         };
         match self.response {
-            Response::Ended => true,
-            Response::Down(_) => now.duration_since(departure.learned) > GONE_WAIT,
+            Response::RestartedEmpty => true,
+            Response::Down(_) => now.duration_since(departure.learned) > GONE_MEMBER_TIMEOUT,
             _ => false,
         }
     }
@@ -73,40 +73,40 @@
 }
 
 /// Gives `control` to one member.
-pub async fn order(engine: &Engine, member: &Arc<Member>, control: Control) -> Response {
+pub async fn send_control(engine: &Engine, member: &Arc<Member>, control: Control) -> Response {
     if engine.directory().has_ended(member) {
-        return Response::Ended;
+        return Response::RestartedEmpty;
     }
     let pool = engine.pool(member);
-    match timeout(ORDER_TIMEOUT, pool.order(control)).await {
+    match timeout(CONTROL_TIMEOUT, pool.order(control)).await {
         Ok(Ok(report)) => {
             pool.note(|health| health.heard(Instant::now()));
             Response::Report(report)
         }
-        Ok(Err(error)) => failure(&error),
+        Ok(Err(error)) => response_to_error(&error),
         Err(_) => Response::Silent("no answer in time".to_owned()),
     }
 }
 
 /// How long a survey waits for the last members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct StragglerPolicy {
     /// Members that may be left out.
-    may_miss: usize,
+    max_stragglers: usize,
     /// Wait for them after all others have answered.
-    wait: Duration,
+    grace: Duration,
 }
 
-impl Patience {
+impl StragglerPolicy {
     /// Every member is waited for.
-    pub const WHOLE: Self = Self {
-        may_miss: 0,
-        wait: Duration::ZERO,
+    pub const WAIT_FOR_ALL: Self = Self {
+        max_stragglers: 0,
+        grace: Duration::ZERO,
     };
     /// One member, which is likely lost, is waited for only a moment longer than the rest.
-    pub const ONE_LIKELY_LOST: Self = Self {
-        may_miss: 1,
-        wait: Duration::from_millis(50),
+    pub const SKIP_ONE_STRAGGLER: Self = Self {
+        max_stragglers: 1,
+        grace: Duration::from_millis(50),
     };
 }
 
@@ -115,10 +115,10 @@
     engine: &Engine,
     group: &GroupName,
     control_for: impl Fn(&Member) -> Control,
-    patience: Patience,
-) -> Vec<Surveyed> {
+    stragglers: StragglerPolicy,
+) -> Vec<SurveyedMember> {
     let members = engine.directory().members_of(group);
-    survey_members(engine, members, control_for, patience).await
+    survey_members(engine, members, control_for, stragglers).await
 }
 
 /// The same for `members` only.
@@ -126,32 +126,32 @@
     engine: &Engine,
     members: Vec<Arc<Member>>,
     control_for: impl Fn(&Member) -> Control,
-    patience: Patience,
-) -> Vec<Surveyed> {
-    let orders = members.iter().map(|member| {
+    stragglers: StragglerPolicy,
+) -> Vec<SurveyedMember> {
+    let controls = members.iter().map(|member| {
         let control = control_for(member);
         async move {
-            let response = order(engine, member, control).await;
+            let response = send_control(engine, member, control).await;
             let member = Arc::clone(member);
-            Surveyed { member, response }
+            SurveyedMember { member, response }
         }
     });
-    let mut running: FuturesUnordered<_> = orders.collect();
-    let mut surveyed: Vec<Surveyed> = Vec::new();
-    let mut until = Instant::now() + ORDER_TIMEOUT + ORDER_TIMEOUT;
+    let mut running: FuturesUnordered<_> = controls.collect();
+    let mut surveyed: Vec<SurveyedMember> = Vec::new();
+    let mut until = Instant::now() + CONTROL_TIMEOUT + CONTROL_TIMEOUT;
     while let Ok(Some(next)) = timeout_at(until, running.next()).await {
         surveyed.push(next);
-        if running.len() <= patience.may_miss {
-            until = until.min(Instant::now() + patience.wait);
+        if running.len() <= stragglers.max_stragglers {
+            until = until.min(Instant::now() + stragglers.grace);
         }
     }
     drop(running);
     let silent = members.into_iter().filter(|member| {
-        let heard = surveyed.iter().any(|known| known.member.id == member.id);
-        !heard
+        let has_answered = surveyed.iter().any(|known| known.member.id == member.id);
+        !has_answered
     });
-    let silent: Vec<Surveyed> = silent
-        .map(|member| Surveyed {
+    let silent: Vec<SurveyedMember> = silent
+        .map(|member| SurveyedMember {
             member,
             response: Response::Silent("not waited for".to_owned()),
         })
@@ -160,7 +160,7 @@
     surveyed
 }
 
-fn failure(error: &OrderError) -> Response {
+fn response_to_error(error: &OrderError) -> Response {
     let reason = error.to_string();
     match error {
         OrderError::Connect(ConnectError::Refused(_) | ConnectError::WrongMember) => {
--- a/crates/engine/src/leadership/suspicion.rs
+++ b/crates/engine/src/leadership/suspicion.rs
@@ -4,7 +4,7 @@
 //! acknowledged. Only where it has been silent is the leader asked, over a connection of
 //! its own.
 
-use super::survey::{self, Patience, Response};
+use super::survey::{self, Response, StragglerPolicy};
 use crate::directory::{Member, MemberState, Role};
 use crate::engine::Engine;
 use crate::group::{Group, LeaderView};
@@ -147,7 +147,7 @@
                 return verify_replication(engine, group, leader).await;
             }
             Response::Report(_) | Response::Declined(_) => return None,
-            Response::Ended => return Some(Suspicion::EntryGone),
+            Response::RestartedEmpty => return Some(Suspicion::EntryGone),
             Response::Down(_) | Response::Silent(_) => sleep(QUESTION_PAUSE).await,
         }
     }
@@ -167,7 +167,7 @@
     let report = match ask(engine, leader).await {
         Response::Report(report) => report,
         Response::Declined(_) => return None,
-        Response::Ended => return Some(Suspicion::EntryGone),
+        Response::RestartedEmpty => return Some(Suspicion::EntryGone),
         Response::Down(_) | Response::Silent(_) => return Some(Suspicion::Unreachable),
     };
     let mut suspicion = None;
@@ -190,7 +190,13 @@
     group: &Group,
     leader: &Arc<Member>,
 ) -> Vec<MemberReport> {
-    let members = survey::survey(engine, group.name(), |_| Control::Status, Patience::WHOLE).await;
+    let members = survey::survey(
+        engine,
+        group.name(),
+        |_| Control::Status,
+        StragglerPolicy::WAIT_FOR_ALL,
+    )
+    .await;
     let others = members.iter().filter(|m| m.member.id != leader.id);
     others
         .filter_map(|surveyed| surveyed.response.report().copied())
@@ -198,7 +204,7 @@
 }
 
 async fn ask(engine: &Engine, leader: &Arc<Member>) -> Response {
-    let asked = survey::order(engine, leader, Control::Status);
+    let asked = survey::send_control(engine, leader, Control::Status);
     let silent = || Response::Silent("no answer in time".to_owned());
     timeout(QUESTION_TIMEOUT, asked)
         .await
--- a/crates/engine/src/leadership/telling.rs
+++ b/crates/engine/src/leadership/telling.rs
@@ -3,13 +3,13 @@
 use super::choice::Obstacle;
 use super::promotion::Promotion;
 use super::record::TermRecord;
-use super::survey::{Response, Surveyed};
+use super::survey::{Response, SurveyedMember};
 use crate::events::Event;
 use crate::names::MemberId;
 use crate::ports::MemberReport;
 
 impl Promotion {
-    pub(super) fn tell_fence(&self, record: &TermRecord, members: &[Surveyed]) {
+    pub(super) fn tell_fence(&self, record: &TermRecord, members: &[SurveyedMember]) {
         for surveyed in members {
             let id = &surveyed.member.id;
             self.tell_response(record, "fence", id, &surveyed.response);
@@ -31,7 +31,7 @@
             Response::Report(_) => String::new(),
             Response::Down(reason) => format!("down: {reason}"),
             Response::Declined(reason) => format!("declined: {reason}"),
-            Response::Ended => "started again".to_owned(),
+            Response::RestartedEmpty => "started again".to_owned(),
             Response::Silent(reason) => format!("silent: {reason}"),
         };
         let report = response.report().copied();
--- a/crates/engine/tests/choice.rs
+++ b/crates/engine/tests/choice.rs
@@ -8,7 +8,7 @@
 use stilequay_engine::directory::{Departure, Member, MemberState, Role};
 use stilequay_engine::evacuation::Evacuations;
 use stilequay_engine::leadership::choice::{FenceSurvey, Obstacle, PreviousLeader, fencing_term};
-use stilequay_engine::leadership::survey::{Response, Surveyed};
+use stilequay_engine::leadership::survey::{Response, SurveyedMember};
 use stilequay_engine::ports::MemberReport;
 use stilequay_engine::position::LogPosition;
 use stilequay_engine::topology::Topology;
@@ -20,7 +20,7 @@
     SocketAddr::from(([10, 0, 0, name.as_bytes()[0]], 5000))
 }
 
-fn surveyed(name: &str, state: MemberState, response: Response) -> Surveyed {
+fn surveyed(name: &str, state: MemberState, response: Response) -> SurveyedMember {
     let member = Member {
         id: name.into(),
         group: "ledger".into(),
@@ -33,7 +33,7 @@
         changed: 0,
     };
     let member = Arc::new(member);
-    Surveyed { member, response }
+    SurveyedMember { member, response }
 }
 
 fn report(role: Role, received: u64, paused_for: u64) -> Response {
@@ -67,7 +67,7 @@
 
 fn choose(responses: [Response; 3], sync_replicas: usize) -> Result<String, Obstacle> {
     let names = ["a", "b", "c"];
-    let members: Vec<Surveyed> = names
+    let members: Vec<SurveyedMember> = names
         .iter()
         .zip(responses)
         .map(|(name, response)| surveyed(name, MemberState::Ready, response))
@@ -75,12 +75,12 @@
     choose_from(&members, sync_replicas)
 }
 
-fn choose_from(members: &[Surveyed], sync_replicas: usize) -> Result<String, Obstacle> {
+fn choose_from(members: &[SurveyedMember], sync_replicas: usize) -> Result<String, Obstacle> {
     choose_knowing(members, sync_replicas, None)
 }
 
 fn choose_knowing(
-    members: &[Surveyed],
+    members: &[SurveyedMember],
     sync_replicas: usize,
     known: Option<LogPosition>,
 ) -> Result<String, Obstacle> {
@@ -208,22 +208,22 @@
 #[case::above_every_term(vec![report(Role::Primary, 5, 0), report(Role::Replica, 5, 0)], 2)]
 #[case::a_fence_that_was_begun(vec![report(Role::Primary, 5, 0), report(Role::Replica, 5, 4)], 4)]
 fn a_fence_is_in_the_name_of_a_term_that_all_heed(#[case] told: Vec<Response>, #[case] term: u64) {
-    let members: Vec<Surveyed> = told
+    let members: Vec<SurveyedMember> = told
         .into_iter()
         .map(|response| surveyed("b", MemberState::Ready, response))
         .collect();
     assert_eq!(fencing_term(&members), term);
 }
 
-fn in_life(name: &str, response: Response) -> Surveyed {
+fn in_life(name: &str, response: Response) -> SurveyedMember {
     let mut known = surveyed(name, MemberState::Ready, response);
     let member = Arc::make_mut(&mut known.member);
     member.address = address(&name[..1]);
     known
 }
 
-fn ended(name: &str) -> Surveyed {
-    let mut known = in_life(name, Response::Ended);
+fn ended(name: &str) -> SurveyedMember {
+    let mut known = in_life(name, Response::RestartedEmpty);
     let departure = Departure::at(Instant::now());
     Arc::make_mut(&mut known.member).state = MemberState::Gone(departure);
     known
@@ -244,7 +244,7 @@
     #[case] expected: Result<String, Obstacle>,
 ) {
     let names = ["a", "b", "c"].iter().zip(responses);
-    let members: Vec<Surveyed> = names
+    let members: Vec<SurveyedMember> = names
         .map(|(name, response)| surveyed(name, MemberState::Ready, response))
         .collect();
     let known = known.map(|number| LogPosition::new(1, number));
--- a/crates/engine/tests/regions.rs
+++ b/crates/engine/tests/regions.rs
@@ -11,7 +11,7 @@
 use stilequay_engine::evacuation::Evacuations;
 use stilequay_engine::home::placement::{CANDIDATES, HOMES, Peer, rank, rank_by_region};
 use stilequay_engine::leadership::choice::{FenceSurvey, PreviousLeader};
-use stilequay_engine::leadership::survey::{Response, Surveyed};
+use stilequay_engine::leadership::survey::{Response, SurveyedMember};
 use stilequay_engine::names::{RegionName, ZoneName};
 use stilequay_engine::ports::MemberReport;
 use stilequay_engine::position::LogPosition;
@@ -227,7 +227,7 @@
     #[case] northern_state: MemberState,
     #[case] expected: &str,
 ) {
-    let member = |name: &str, state, response| Surveyed {
+    let member = |name: &str, state, response| SurveyedMember {
         member: Arc::new(Member {
             id: Arc::from(name),
             address: SocketAddr::from(([10, 0, 0, name.as_bytes()[0]], 5_432)),
