--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -529,7 +529,7 @@
             written: news.records,
             version: news.records_version,
         };
-        engine.terms().take_changes(engine, &changes);
+        engine.terms().apply_changes(engine, &changes);
     }
 }
 
--- a/crates/engine/src/leadership/fleet.rs
+++ b/crates/engine/src/leadership/fleet.rs
@@ -49,7 +49,7 @@
 /// Where the other processes answer, as far as is known.
 pub fn peers(engine: &Engine) -> Vec<SocketAddr> {
     let own = engine.settings().peer_address;
-    let others = engine.terms().subscribe_others();
+    let others = engine.terms().subscribe_other_records();
     let records = others.borrow();
     let nodes = records.values().filter(|r| r.key.starts_with(KEY_PREFIX));
     nodes
@@ -98,7 +98,7 @@
 /// Keeps this process's record. One that an earlier life has written and that still holds
 /// is left for a while: where a whole fleet starts anew, nobody has to write.
 pub async fn register(engine: &Engine) {
-    engine.terms().until_own_known().await;
+    engine.terms().wait_until_own_known().await;
     let key = format!("{KEY_PREFIX}{}", engine.settings().node);
     if let Some(known) = own_record(engine, &key)
         && let Ok(earlier) = rmp_serde::from_slice::<NodeRecord>(&known.value)
@@ -111,7 +111,9 @@
     loop {
         let known = own_record(engine, &key);
         let value = encoding::with_names(&NodeRecord::of(engine));
-        let put = engine.terms().put_other(key.clone(), known.as_ref(), value);
+        let put = engine
+            .terms()
+            .put_other_record(key.clone(), known.as_ref(), value);
         match put.await {
             Ok(PutOutcome::Stored(_)) => {
                 failures = 0;
@@ -129,7 +131,7 @@
 /// Returns after `pause`, or soon after the store has lost the record called `key`: a process
 /// without one gets no work of others.
 async fn until_due(engine: &Engine, key: &str, pause: Duration) {
-    let mut records = engine.terms().subscribe_others();
+    let mut records = engine.terms().subscribe_other_records();
     let lost = records.wait_for(|records| !records.contains_key(key));
     if timeout(pause, lost).await.is_ok() {
         sleep(RETRY_PAUSE.mul_f64(rand::random())).await;
@@ -138,7 +140,7 @@
 
 /// How many processes the fleet has, by its index or the records that are known.
 pub fn count(engine: &Engine) -> usize {
-    let others = engine.terms().subscribe_others();
+    let others = engine.terms().subscribe_other_records();
     let records = others.borrow();
     let nodes = records.keys().filter(|key| key.starts_with(KEY_PREFIX));
     match nodes.count() {
@@ -154,7 +156,12 @@
 }
 
 fn own_record(engine: &Engine, key: &str) -> Option<Record> {
-    engine.terms().subscribe_others().borrow().get(key).cloned()
+    engine
+        .terms()
+        .subscribe_other_records()
+        .borrow()
+        .get(key)
+        .cloned()
 }
 
 /// A process as its record was last seen.
@@ -168,7 +175,7 @@
 
 /// Divides the members' connections anew whenever the fleet changes.
 pub async fn follow(engine: &Engine) {
-    let mut records = engine.terms().subscribe_others();
+    let mut records = engine.terms().subscribe_other_records();
     let mut seen = HashMap::new();
     loop {
         note_processes(&records.borrow_and_update(), &mut seen, Instant::now());
--- a/crates/engine/src/leadership/fleet_index.rs
+++ b/crates/engine/src/leadership/fleet_index.rs
@@ -68,7 +68,7 @@
         if lease.check().is_none() || !following::follows_others(engine) {
             continue;
         }
-        let others = engine.terms().subscribe_others();
+        let others = engine.terms().subscribe_other_records();
         let known = others.borrow().get(KEY).cloned();
         let current = FleetIndex::of(engine);
         if known.as_ref().and_then(FleetIndex::decode).as_ref() == Some(&current) {
@@ -77,7 +77,7 @@
         let value = encoding::with_names(&current);
         let put = engine
             .terms()
-            .put_other(KEY.to_owned(), known.as_ref(), value);
+            .put_other_record(KEY.to_owned(), known.as_ref(), value);
         if let Err(error) = put.await {
             log::warn!("the index of the fleet was not written: {error}");
         }
--- a/crates/engine/src/leadership/follower.rs
+++ b/crates/engine/src/leadership/follower.rs
@@ -49,7 +49,7 @@
     has_read: tokio::sync::watch::Sender<bool>,
     /// Whether it is known which record this process has.
     knows_own: tokio::sync::watch::Sender<bool>,
-    others: tokio::sync::watch::Sender<HashMap<String, Record>>,
+    other_records: tokio::sync::watch::Sender<HashMap<String, Record>>,
     version: tokio::sync::watch::Sender<StoreVersion>,
     /// Groups whose record the store has lost, or shows as it was before.
     lost: tokio::sync::watch::Sender<BTreeSet<GroupName>>,
@@ -64,7 +64,7 @@
             known: Mutex::default(),
             has_read: tokio::sync::watch::Sender::new(false),
             knows_own: tokio::sync::watch::Sender::new(false),
-            others: tokio::sync::watch::Sender::new(HashMap::new()),
+            other_records: tokio::sync::watch::Sender::new(HashMap::new()),
             version: tokio::sync::watch::Sender::new(0),
             lost: tokio::sync::watch::Sender::new(BTreeSet::new()),
         }
@@ -82,8 +82,8 @@
     }
 
     /// Records other than those of leaderships, by key.
-    pub fn subscribe_others(&self) -> tokio::sync::watch::Receiver<HashMap<String, Record>> {
-        self.others.subscribe()
+    pub fn subscribe_other_records(&self) -> tokio::sync::watch::Receiver<HashMap<String, Record>> {
+        self.other_records.subscribe()
     }
 
     /// Reads the record of `group` now, and those of the other groups of its
@@ -103,7 +103,7 @@
             return Ok(());
         }
         let directory = engine.directory();
-        let groups = groups_beside(&directory, group);
+        let groups = groups_in_block(&directory, group);
         // Neither is empty: they hold the group.
         let (first, last) = (&groups[0], &groups[groups.len() - 1]);
         let (first, last) = (TermRecord::key(first), TermRecord::key(last));
@@ -118,13 +118,13 @@
     /// `begun`.
     pub(super) fn confirm_block(&self, engine: &Engine, group: &Group, begun: Instant) {
         let directory = engine.directory();
-        let groups = groups_beside(&directory, group);
+        let groups = groups_in_block(&directory, group);
         for name in groups {
             if let Some(term) = self.known(name) {
-                let record = acting_record(&directory, term.record);
+                let record = resolve_acting_leader(&directory, term.record);
                 let group = engine.group(name);
                 if group.apply_record(&record, Some(begun), Instant::now()) {
-                    tell_leader(engine, &group);
+                    emit_leader_changed(engine, &group);
                 }
             }
         }
@@ -159,7 +159,7 @@
         let key = fleet_index::KEY;
         let read = self.records.read_between(key, key).await?;
         let found = !read.written.is_empty();
-        self.note_others(read.written);
+        self.insert_other_records(read.written);
         Ok(found)
     }
 
@@ -170,20 +170,20 @@
     /// [`RecordStoreError`] where the store gave no answer.
     pub async fn read_processes(&self) -> Result<(), RecordStoreError> {
         let read = self.records.read(fleet::KEY_PREFIX).await?;
-        self.note_others(read.written);
+        self.insert_other_records(read.written);
         self.knows_own.send_replace(true);
         Ok(())
     }
 
-    fn note_others(&self, records: Vec<Record>) {
+    fn insert_other_records(&self, records: Vec<Record>) {
         let records = records.into_iter();
-        self.others.send_modify(|others| {
+        self.other_records.send_modify(|others| {
             others.extend(records.map(|record| (record.key.clone(), record)));
         });
     }
 
     /// Resolves once it is known whether this process has a record.
-    pub async fn until_own_known(&self) {
+    pub async fn wait_until_own_known(&self) {
         let mut knows_own = self.knows_own.subscribe();
         // The sender lives as long as this does.
         let _ = knows_own.wait_for(|known| *known).await;
@@ -195,8 +195,8 @@
         let mut failures = 0;
         let mut dependency = DependencyMonitor::new("term_records");
         loop {
-            let turned = engine.following().until_direct().await;
-            if turned {
+            let became_direct = engine.following().until_direct().await;
+            if became_direct {
                 version = engine.following().resume_from(Feed::Records);
                 version = version.filter(|_| self.has_read());
             }
@@ -204,7 +204,7 @@
             let result = match version {
                 None => self.records.read("").await,
                 Some(after) => {
-                    let wait = following::first_wait(turned, failures, engine.feed_wait());
+                    let wait = following::first_wait(became_direct, failures, engine.feed_wait());
                     self.records.watch(after, wait).await
                 }
             };
@@ -212,16 +212,16 @@
                 Ok(changes) => {
                     failures = 0;
                     dependency.note(engine.events(), None);
-                    let whole = version.is_none();
-                    self.apply(engine, &changes, whole.then_some(begun));
-                    self.note_read();
-                    if whole {
-                        self.forget_lost(era_of(changes.version));
+                    let is_full_read = version.is_none();
+                    self.apply(engine, &changes, is_full_read.then_some(begun));
+                    self.mark_read();
+                    if is_full_read {
+                        self.drop_lost(era_of(changes.version));
                         let groups = engine.directory().groups();
                         self.apply_first_leaders(engine, &groups, begun);
                     }
                     version = Some(changes.version);
-                    self.advance(changes.version);
+                    self.advance_version(changes.version);
                     engine.slow_starts().prove_records(begun);
                     let now = Instant::now();
                     engine
@@ -261,7 +261,7 @@
     }
 
     /// Notes that the record of `group` is in the store again, or another in its place.
-    pub fn found(&self, group: &GroupName) {
+    pub fn clear_lost(&self, group: &GroupName) {
         self.lost.send_if_modified(|lost| lost.remove(group));
     }
 
@@ -269,23 +269,23 @@
     pub fn records_after(&self, version: StoreVersion) -> Vec<Record> {
         let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         let terms = known.values().map(|term| term.to_record());
-        let others = self.others.borrow();
+        let others = self.other_records.borrow();
         let all = terms.chain(others.values().cloned());
         all.filter(|record| record.version > version).collect()
     }
 
     /// Takes changes that another process has learned from the store.
-    pub fn take_changes(&self, engine: &Engine, changes: &RecordChanges) {
+    pub fn apply_changes(&self, engine: &Engine, changes: &RecordChanges) {
         let era = era_of(changes.version);
-        let entered = era > era_of(self.version());
+        let is_new_era = era > era_of(self.version());
         self.apply(engine, changes, None);
         // All that there is in a later era is newer than what was known.
-        if entered {
-            self.forget_lost(era);
+        if is_new_era {
+            self.drop_lost(era);
         }
-        self.advance(changes.version);
+        self.advance_version(changes.version);
         // Whoever knows nothing is told everything: groups without a record were never promoted.
-        if changes.version > 0 && !self.note_read() {
+        if changes.version > 0 && !self.mark_read() {
             self.directory_changed(engine);
         }
     }
@@ -293,9 +293,9 @@
     /// Forgets what the store has lost: what was not seen in `era`, of which everything is
     /// known. Terms are not forgotten: a number that was given to one leader must not be given
     /// to another.
-    fn forget_lost(&self, era: StoreEra) {
+    fn drop_lost(&self, era: StoreEra) {
         let is_lost = |version: StoreVersion| version > 0 && era_of(version) < era;
-        self.others.send_if_modified(|others| {
+        self.other_records.send_if_modified(|others| {
             let before = others.len();
             others.retain(|_, record| !is_lost(record.version));
             others.len() < before
@@ -303,17 +303,17 @@
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         for term in known.values_mut().filter(|term| is_lost(term.version)) {
             term.version = 0;
-            self.note_lost(&term.record.group);
+            self.mark_lost(&term.record.group);
         }
     }
 
-    fn note_lost(&self, group: &GroupName) {
+    fn mark_lost(&self, group: &GroupName) {
         self.lost.send_modify(|lost| {
             lost.insert(group.clone());
         });
     }
 
-    fn advance(&self, version: StoreVersion) {
+    fn advance_version(&self, version: StoreVersion) {
         self.version.send_if_modified(|known| {
             let later = *known < version;
             *known = version.max(*known);
@@ -323,13 +323,13 @@
 
     /// Takes one record that this process has just written or read.
     pub fn apply_one(&self, engine: &Engine, term: VersionedTerm, begun: Option<Instant>) {
-        if !self.keep(&term) {
+        if !self.insert_if_newer(&term) {
             return;
         }
         let group = engine.group(&term.record.group);
-        let record = acting_record(&engine.directory(), term.record);
+        let record = resolve_acting_leader(&engine.directory(), term.record);
         if group.apply_record(&record, begun, Instant::now()) {
-            tell_leader(engine, &group);
+            emit_leader_changed(engine, &group);
         }
     }
 
@@ -339,7 +339,7 @@
     /// # Errors
     ///
     /// [`RecordStoreError`] where the store gave no answer.
-    pub async fn put_other(
+    pub async fn put_other_record(
         &self,
         key: String,
         known: Option<&Record>,
@@ -351,7 +351,7 @@
             expected,
             value,
         };
-        self.put_others(vec![put]).await
+        self.put_other_records(vec![put]).await
     }
 
     /// The same of several records, in one call: all are written or none.
@@ -359,7 +359,10 @@
     /// # Errors
     ///
     /// [`RecordStoreError`] where the store gave no answer.
-    pub async fn put_others(&self, puts: Vec<RecordPut>) -> Result<PutOutcome, RecordStoreError> {
+    pub async fn put_other_records(
+        &self,
+        puts: Vec<RecordPut>,
+    ) -> Result<PutOutcome, RecordStoreError> {
         let outcome = self.records.put_all(&puts).await?;
         if let PutOutcome::Stored(version) = outcome {
             let written = puts.into_iter().map(|put| Record {
@@ -367,7 +370,7 @@
                 value: put.value,
                 version,
             });
-            self.note_others(written.collect());
+            self.insert_other_records(written.collect());
         }
         Ok(outcome)
     }
@@ -379,13 +382,13 @@
             let group = engine.group(&name);
             let changed = match self.known(&name) {
                 Some(term) => {
-                    let record = acting_record(&directory, term.record);
+                    let record = resolve_acting_leader(&directory, term.record);
                     group.apply_record(&record, None, Instant::now())
                 }
                 None => group.apply_first_leader(first_leader(&directory, &name), None),
             };
             if changed {
-                tell_leader(engine, &group);
+                emit_leader_changed(engine, &group);
             }
         }
     }
@@ -398,7 +401,7 @@
                 self.apply_stored(engine, record, evidence);
             } else {
                 roster::take(engine, record);
-                self.others.send_modify(|others| {
+                self.other_records.send_modify(|others| {
                     others.insert(record.key.clone(), record.clone());
                 });
             }
@@ -412,13 +415,13 @@
     }
 
     /// Notes that all records are known; returns whether they were.
-    fn note_read(&self) -> bool {
+    fn mark_read(&self) -> bool {
         self.knows_own.send_replace(true);
         self.has_read.send_replace(true)
     }
 
     /// Resolves once the records were read in whole.
-    pub async fn until_read(&self) {
+    pub async fn wait_until_read(&self) {
         let mut has_read = self.has_read.subscribe();
         // The sender lives as long as this does.
         let _ = has_read.wait_for(|read| *read).await;
@@ -449,19 +452,19 @@
     /// Remembers `term` unless a later version is known; returns whether none is. A store that
     /// was restored may show a later version of an earlier term: that is only noted as what
     /// is to be written over.
-    fn keep(&self, term: &VersionedTerm) -> bool {
+    fn insert_if_newer(&self, term: &VersionedTerm) -> bool {
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         let group = &term.record.group;
         match known.get_mut(group) {
             Some(before) if before.version > term.version => false,
             Some(before) if before.record.is_ahead_of(&term.record) => {
                 before.version = term.version;
-                self.note_lost(group);
+                self.mark_lost(group);
                 false
             }
             _ => {
                 known.insert(group.clone(), term.clone());
-                self.found(group);
+                self.clear_lost(group);
                 true
             }
         }
@@ -469,13 +472,13 @@
 }
 
 /// The groups of the [block](block_of) of `group`, it included.
-fn groups_beside<'a>(directory: &'a Directory, group: &'a Group) -> &'a [GroupName] {
+fn groups_in_block<'a>(directory: &'a Directory, group: &'a Group) -> &'a [GroupName] {
     let block = block_of(directory.group_names(), group.name());
     block.map_or(std::slice::from_ref(group.name()), |block| block.groups)
 }
 
 /// The record with the names of those that act for its target and the leader before.
-fn acting_record(directory: &Directory, record: TermRecord) -> TermRecord {
+fn resolve_acting_leader(directory: &Directory, record: TermRecord) -> TermRecord {
     let acting = |id: &MemberId| {
         let address = record.target_address;
         let member = directory.acting_member(&record.group, id, address);
@@ -488,7 +491,7 @@
     TermRecord { target, ..record }
 }
 
-fn tell_leader(engine: &Engine, group: &Group) {
+fn emit_leader_changed(engine: &Engine, group: &Group) {
     let view = group.view();
     engine.events().write(&Event::LeaderChanged {
         group: group.name().clone(),
--- a/crates/engine/src/leadership/report.rs
+++ b/crates/engine/src/leadership/report.rs
@@ -37,7 +37,7 @@
         evidence: suspicion.name().to_owned(),
         nonce: rand::random(),
     };
-    let others = engine.terms().subscribe_others();
+    let others = engine.terms().subscribe_other_records();
     let version = others.borrow().get(&key).map_or(0, |known| known.version);
     let value = encoding::with_names(&report);
     let _ = engine.terms().store().put_if(&key, version, value).await;
--- a/crates/engine/src/leadership/rewriting.rs
+++ b/crates/engine/src/leadership/rewriting.rs
@@ -37,7 +37,7 @@
         engine.following().is_direct() || term.record.holder == engine.settings().node
     };
     let Some(term) = known.filter(writes) else {
-        terms.found(group);
+        terms.clear_lost(group);
         return Ok(());
     };
     let begun = Instant::now();
@@ -46,7 +46,7 @@
         .store()
         .put_if(&key, term.version, term.record.encode());
     let outcome = put.await?;
-    terms.found(group);
+    terms.clear_lost(group);
     if let PutOutcome::Stored(version) = outcome {
         log::info!("the record of {group} was lost with its store's copy, and is written again");
         let term = VersionedTerm { version, ..term };
--- a/crates/engine/src/leadership/roster.rs
+++ b/crates/engine/src/leadership/roster.rs
@@ -125,7 +125,7 @@
 
 fn comparison(engine: &Engine, group: &GroupName, new_groups: &mut NewGroups) -> Comparison {
     let key = Roster::key(group);
-    let others = engine.terms().subscribe_others();
+    let others = engine.terms().subscribe_other_records();
     let known = others.borrow().get(&key).cloned();
     let current = Roster::of(engine, group);
     if known.as_ref().and_then(Roster::decode).as_ref() == Some(&current) {
@@ -147,9 +147,9 @@
 /// that one is left to the next comparison.
 async fn write(engine: &Engine, puts: &[RecordPut]) -> Result<(), RecordStoreError> {
     let terms = engine.terms();
-    if terms.put_others(puts.to_vec()).await? == PutOutcome::Conflict && puts.len() > 1 {
+    if terms.put_other_records(puts.to_vec()).await? == PutOutcome::Conflict && puts.len() > 1 {
         for put in puts {
-            terms.put_others(vec![put.clone()]).await?;
+            terms.put_other_records(vec![put.clone()]).await?;
         }
     }
     Ok(())
--- a/crates/engine/src/leadership/watcher.rs
+++ b/crates/engine/src/leadership/watcher.rs
@@ -263,7 +263,7 @@
 
     /// Learns of suspicions that others record.
     async fn take_reports(&self) {
-        let mut others = self.engine.terms().subscribe_others();
+        let mut others = self.engine.terms().subscribe_other_records();
         let mut versions: HashMap<String, u64> = HashMap::new();
         loop {
             let records = others.borrow_and_update().clone();
--- a/crates/engine/src/rate/pursuit.rs
+++ b/crates/engine/src/rate/pursuit.rs
@@ -99,7 +99,7 @@
         Arc::new(CountersClock(Arc::clone(engine))),
     )
     .reclaiming_earlier_lives();
-    engine.terms().until_read().await;
+    engine.terms().wait_until_read().await;
     if !fleet::is_registered(engine) {
         sleep(FIRST_START_PAUSE).await;
     }
--- a/crates/engine/src/slow_start/allot.rs
+++ b/crates/engine/src/slow_start/allot.rs
@@ -37,8 +37,8 @@
 pub async fn run(engine: &Engine) {
     let mut configuration = engine.subscribe_configuration();
     let mut directory = engine.subscribe_directory();
-    let mut records = engine.terms().subscribe_others();
-    engine.terms().until_read().await;
+    let mut records = engine.terms().subscribe_other_records();
+    engine.terms().wait_until_read().await;
     if !fleet::is_registered(engine) {
         sleep(FIRST_START_PAUSE).await;
     }
@@ -187,7 +187,7 @@
     let key = Allotments::key(&member.group);
     let known = engine
         .terms()
-        .subscribe_others()
+        .subscribe_other_records()
         .borrow()
         .get(&key)
         .cloned();
@@ -209,7 +209,7 @@
     next.members.insert(member.id.clone(), allotment);
     forget_left(engine, &mut next);
     let value = encoding::with_names(&next);
-    let put = engine.terms().put_other(key, known.as_ref(), value);
+    let put = engine.terms().put_other_record(key, known.as_ref(), value);
     put.await.map(drop)
 }
 
--- a/crates/engine/src/slow_start/mod.rs
+++ b/crates/engine/src/slow_start/mod.rs
@@ -136,7 +136,7 @@
 
     /// Takes the record of `group` as the store has it, if it has changed.
     fn look_up(&self, engine: &Engine, group: &GroupName) {
-        let others = engine.terms().subscribe_others();
+        let others = engine.terms().subscribe_other_records();
         let records = others.borrow();
         let Some(record) = records.get(&Allotments::key(group)) else {
             return;
--- a/crates/engine/tests/homes.rs
+++ b/crates/engine/tests/homes.rs
@@ -640,7 +640,7 @@
     let put = store.put_if(key, 0, bytes("x")).await;
     assert!(matches!(put, Ok(PutOutcome::Stored(_))));
     let knows = |node: &usize| {
-        let others = fleet.nodes[*node].engine.terms().subscribe_others();
+        let others = fleet.nodes[*node].engine.terms().subscribe_other_records();
         others.borrow().contains_key(key)
     };
     until(|| others.iter().all(knows)).await;
