--- a/crates/engine/src/leadership/fleet.rs
+++ b/crates/engine/src/leadership/fleet.rs
@@ -144,7 +144,7 @@
     let records = others.borrow();
     let nodes = records.keys().filter(|key| key.starts_with(KEY_PREFIX));
     match nodes.count() {
-        0 => FleetIndex::among(&records).map_or(0, |index| index.processes),
+        0 => FleetIndex::from_records(&records).map_or(0, |index| index.processes),
         known => known,
     }
 }
@@ -180,7 +180,7 @@
     loop {
         note_processes(&records.borrow_and_update(), &mut seen, Instant::now());
         let index = match seen.is_empty() {
-            true => FleetIndex::among(&records.borrow()),
+            true => FleetIndex::from_records(&records.borrow()),
             false => None,
         };
         let (peers, processes) = match index {
--- a/crates/engine/src/leadership/fleet_index.rs
+++ b/crates/engine/src/leadership/fleet_index.rs
@@ -49,7 +49,7 @@
     }
 
     /// The index among `records`, if there is one.
-    pub fn among(records: &HashMap<String, Record>) -> Option<Self> {
+    pub fn from_records(records: &HashMap<String, Record>) -> Option<Self> {
         Self::decode(records.get(KEY)?)
     }
 
@@ -62,7 +62,7 @@
 }
 
 /// Keeps the record while this process holds the lease for promotions.
-pub async fn keep(engine: &Engine, lease: &PromotionLease) {
+pub async fn maintain(engine: &Engine, lease: &PromotionLease) {
     loop {
         sleep(COMPARE_INTERVAL).await;
         if lease.check().is_none() || !following::follows_others(engine) {
--- a/crates/engine/src/leadership/follower.rs
+++ b/crates/engine/src/leadership/follower.rs
@@ -400,7 +400,7 @@
             if record.key.starts_with(TermRecord::KEY_PREFIX) {
                 self.apply_stored(engine, record, evidence);
             } else {
-                roster::take(engine, record);
+                roster::apply_record(engine, record);
                 self.other_records.send_modify(|others| {
                     others.insert(record.key.clone(), record.clone());
                 });
--- a/crates/engine/src/leadership/promotion.rs
+++ b/crates/engine/src/leadership/promotion.rs
@@ -142,7 +142,7 @@
             address: term.record.previous_address,
         };
         let sync_replicas = self.engine.sync_replicas(&self.group);
-        self.recall_members().await?;
+        self.load_roster().await?;
         loop {
             self.check_lease()?;
             let asked = survey::survey(
@@ -188,8 +188,8 @@
     }
 
     /// Learns of members whose entries have gone: this process may be younger than that.
-    async fn recall_members(&self) -> Result<(), PromotionError> {
-        while roster::recall(&self.engine, &self.group).await.is_err() {
+    async fn load_roster(&self) -> Result<(), PromotionError> {
+        while roster::load(&self.engine, &self.group).await.is_err() {
             self.check_lease()?;
             sleep(STORE_PAUSE).await;
         }
--- a/crates/engine/src/leadership/roster.rs
+++ b/crates/engine/src/leadership/roster.rs
@@ -25,7 +25,7 @@
 const COMPARE_INTERVAL: Duration = Duration::from_millis(150);
 /// Time without a further member after which a group that has no record is complete: servers of
 /// one group start together.
-const JOINING: Duration = Duration::from_secs(1);
+const JOIN_SETTLE_TIME: Duration = Duration::from_secs(1);
 /// Pause after a failed write.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
 
@@ -75,7 +75,7 @@
 type NewGroups = HashMap<GroupName, (Roster, Instant)>;
 
 /// Keeps the records while this process holds the lease.
-pub async fn keep(engine: &Engine, lease: &PromotionLease) {
+pub async fn maintain(engine: &Engine, lease: &PromotionLease) {
     let mut new_groups = NewGroups::new();
     let mut compared = None;
     loop {
@@ -91,18 +91,18 @@
         if compared == Some(versions) {
             continue;
         }
-        let mut is_done = true;
-        let mut due = Vec::new();
+        let mut is_complete = true;
+        let mut puts_due = Vec::new();
         for group in engine.configured_groups() {
-            match comparison(engine, &group, &mut new_groups) {
+            match compare(engine, &group, &mut new_groups) {
                 Comparison::Same => {}
-                Comparison::Joining => is_done = false,
-                Comparison::Due(put) => due.push(put),
+                Comparison::Joining => is_complete = false,
+                Comparison::Due(put) => puts_due.push(put),
             }
         }
-        for puts in due.chunks(PUTS_AT_ONCE) {
-            if let Err(error) = write(engine, puts).await {
-                is_done = false;
+        for puts in puts_due.chunks(PUTS_AT_ONCE) {
+            if let Err(error) = write_records(engine, puts).await {
+                is_complete = false;
                 log::warn!(
                     "the members of {} groups were not recorded: {error}",
                     puts.len()
@@ -110,7 +110,7 @@
                 sleep(RETRY_PAUSE).await;
             }
         }
-        compared = is_done.then_some(versions);
+        compared = is_complete.then_some(versions);
     }
 }
 
@@ -123,7 +123,7 @@
     Due(RecordPut),
 }
 
-fn comparison(engine: &Engine, group: &GroupName, new_groups: &mut NewGroups) -> Comparison {
+fn compare(engine: &Engine, group: &GroupName, new_groups: &mut NewGroups) -> Comparison {
     let key = Roster::key(group);
     let others = engine.terms().subscribe_other_records();
     let known = others.borrow().get(&key).cloned();
@@ -145,7 +145,7 @@
 /// Writes the records of several groups in one call: the servers of a whole fleet register at its
 /// start. Where another process has written one of them meanwhile, each is written by itself, and
 /// that one is left to the next comparison.
-async fn write(engine: &Engine, puts: &[RecordPut]) -> Result<(), RecordStoreError> {
+async fn write_records(engine: &Engine, puts: &[RecordPut]) -> Result<(), RecordStoreError> {
     let terms = engine.terms();
     if terms.put_other_records(puts.to_vec()).await? == PutOutcome::Conflict && puts.len() > 1 {
         for put in puts {
@@ -164,17 +164,17 @@
     if members != current {
         (*members, *since) = (current.clone(), now);
     }
-    now.duration_since(*since) < JOINING
+    now.duration_since(*since) < JOIN_SETTLE_TIME
 }
 
 /// Takes a record that was read or has changed, if it is a roster: its members are known
 /// from then on, for as long as gone members are remembered.
-pub fn take(engine: &Engine, record: &Record) {
+pub fn apply_record(engine: &Engine, record: &Record) {
     let Some(group) = record.key.strip_prefix(KEY_PREFIX) else {
         return;
     };
     if let Some(roster) = Roster::decode(record) {
-        remember(engine, &GroupName::from(group), roster);
+        add_missing_as_gone(engine, &GroupName::from(group), roster);
     }
 }
 
@@ -183,18 +183,18 @@
 /// # Errors
 ///
 /// [`RecordStoreError`] where the store gave no answer.
-pub async fn recall(engine: &Engine, group: &GroupName) -> Result<(), RecordStoreError> {
+pub async fn load(engine: &Engine, group: &GroupName) -> Result<(), RecordStoreError> {
     let key = Roster::key(group);
     let read = engine.terms().store().read(&key).await?;
     let record = read.written.iter().find(|record| record.key == key);
     if let Some(roster) = record.and_then(Roster::decode) {
-        remember(engine, group, roster);
+        add_missing_as_gone(engine, group, roster);
     }
     Ok(())
 }
 
 /// Takes members whose entries are not there for gone, from now on.
-fn remember(engine: &Engine, group: &GroupName, roster: Roster) {
+fn add_missing_as_gone(engine: &Engine, group: &GroupName, roster: Roster) {
     let departure = Departure {
         learned: Instant::now(),
         earliest: None,
--- a/crates/engine/src/leadership/term_confirmation.rs
+++ b/crates/engine/src/leadership/term_confirmation.rs
@@ -126,7 +126,7 @@
 /// Where the holder answers, by the index of the fleet.
 fn holder_address(engine: &Engine) -> Option<SocketAddr> {
     let others = engine.terms().subscribe_other_records();
-    let index = FleetIndex::among(&others.borrow())?;
+    let index = FleetIndex::from_records(&others.borrow())?;
     index
         .holder
         .filter(|address| Some(*address) != engine.settings().peer_address)
