--- a/crates/engine/src/leadership/fleet.rs
+++ b/crates/engine/src/leadership/fleet.rs
@@ -20,16 +20,16 @@
 /// Interval in which a process renews its record.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(120);
 /// Time after which a process whose record was not renewed no longer counts.
-const RECORD_LIFE: Duration = Duration::from_secs(400);
+const RECORD_TTL: Duration = Duration::from_secs(400);
 /// Weight of a process that does not tell how many cores it may use.
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// Pause after a failed write; longer after each one that follows, up to [`MAX_DOUBLINGS`] times:
+/// Pause after a failed write; longer after each one that follows, up to [`MAX_PAUSE_DOUBLINGS`] times:
 /// a fleet that starts writes more records at once than the store takes in a second.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
 /// How often that pause doubles at the most.
-const MAX_DOUBLINGS: u32 = 2;
+const MAX_PAUSE_DOUBLINGS: u32 = 2;
 /// Greatest number: more than one process needs would only wait in the member's queue.
-const GREATEST_SHARE: usize = 6;
+const MAX_SHARE: usize = 6;
 
 /// What a process tells of itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -70,7 +70,7 @@
 /// Connections that one of `processes` may use of a member that accepts `accepted`.
 pub fn connection_share(accepted: usize, processes: usize) -> usize {
     let share = accepted.saturating_sub(RESERVED) / processes.max(1);
-    share.clamp(LEAST_SHARE, GREATEST_SHARE)
+    share.clamp(LEAST_SHARE, MAX_SHARE)
 }
 
 impl NodeRecord {
@@ -86,7 +86,7 @@
     }
 
     /// Whether both tell the same.
-    fn is_same(&self, other: &Self) -> bool {
+    fn has_same_content(&self, other: &Self) -> bool {
         let nonce = other.nonce;
         Self {
             nonce,
@@ -101,11 +101,11 @@
     engine.terms().wait_until_own_known().await;
     let key = format!("{KEY_PREFIX}{}", engine.settings().node);
     if let Some(known) = own_record(engine, &key)
-        && let Ok(earlier) = rmp_serde::from_slice::<NodeRecord>(&known.value)
-        && earlier.is_same(&NodeRecord::of(engine))
+        && let Ok(stored) = rmp_serde::from_slice::<NodeRecord>(&known.value)
+        && stored.has_same_content(&NodeRecord::of(engine))
     {
         let pause = RENEWAL_INTERVAL.mul_f64(0.5 + rand::random::<f64>() / 2.0);
-        until_due(engine, &key, pause).await;
+        wait_until_due(engine, &key, pause).await;
     }
     let mut failures = 0;
     loop {
@@ -117,10 +117,10 @@
         match put.await {
             Ok(PutOutcome::Stored(_)) => {
                 failures = 0;
-                until_due(engine, &key, RENEWAL_INTERVAL).await;
+                wait_until_due(engine, &key, RENEWAL_INTERVAL).await;
             }
             _ => {
-                let pause = RETRY_PAUSE * 2_u32.pow(failures.min(MAX_DOUBLINGS));
+                let pause = RETRY_PAUSE * 2_u32.pow(failures.min(MAX_PAUSE_DOUBLINGS));
                 failures += 1;
                 sleep(pause.mul_f64(0.5 + rand::random::<f64>())).await;
             }
@@ -130,10 +130,10 @@
 
 /// Returns after `pause`, or soon after the store has lost the record called `key`: a process
 /// without one gets no work of others.
-async fn until_due(engine: &Engine, key: &str, pause: Duration) {
+async fn wait_until_due(engine: &Engine, key: &str, pause: Duration) {
     let mut records = engine.terms().subscribe_other_records();
-    let lost = records.wait_for(|records| !records.contains_key(key));
-    if timeout(pause, lost).await.is_ok() {
+    let record_is_lost = records.wait_for(|records| !records.contains_key(key));
+    if timeout(pause, record_is_lost).await.is_ok() {
         sleep(RETRY_PAUSE.mul_f64(rand::random())).await;
     }
 }
@@ -166,28 +166,34 @@
 
 /// A process as its record was last seen.
 #[derive(Debug)]
-struct SeenProcess {
+struct KnownProcess {
     version: u64,
-    at: Instant,
+    seen_at: Instant,
     /// `None` where it answers nobody, or its record makes no sense.
     peer: Option<Peer>,
 }
 
 /// Divides the members' connections anew whenever the fleet changes.
-pub async fn follow(engine: &Engine) {
+pub async fn update_fleet(engine: &Engine) {
     let mut records = engine.terms().subscribe_other_records();
-    let mut seen = HashMap::new();
+    let mut known_processes = HashMap::new();
     loop {
-        note_processes(&records.borrow_and_update(), &mut seen, Instant::now());
-        let index = match seen.is_empty() {
+        update_processes(
+            &records.borrow_and_update(),
+            &mut known_processes,
+            Instant::now(),
+        );
+        let index = match known_processes.is_empty() {
             true => FleetIndex::from_records(&records.borrow()),
             false => None,
         };
         let (peers, processes) = match index {
             Some(index) => (index.followers, index.processes),
-            None => (peers_of(&seen), seen.len()),
+            None => (peers_of(&known_processes), known_processes.len()),
         };
-        engine.homes().set_fleet(with_own(engine, peers), processes);
+        engine
+            .homes()
+            .set_fleet(with_own_process(engine, peers), processes);
         engine.set_processes(processes.max(1));
         if records.changed().await.is_err() {
             return;
@@ -196,7 +202,7 @@
 }
 
 /// The processes that can be homes, this one included, in an order that is always the same.
-fn with_own(engine: &Engine, peers: Vec<Peer>) -> Vec<Peer> {
+fn with_own_process(engine: &Engine, peers: Vec<Peer>) -> Vec<Peer> {
     let own = engine.settings().peer_address.map(|address| Peer {
         node: engine.settings().node.clone(),
         address,
@@ -210,32 +216,36 @@
     peers
 }
 
-fn peers_of(seen: &HashMap<String, SeenProcess>) -> Vec<Peer> {
-    let peers = seen.values().filter_map(|process| process.peer.clone());
+fn peers_of(known_processes: &HashMap<String, KnownProcess>) -> Vec<Peer> {
+    let peers = known_processes
+        .values()
+        .filter_map(|process| process.peer.clone());
     peers.collect()
 }
 
 /// Takes note of the processes whose record has changed lately, and forgets the others.
-fn note_processes(
+fn update_processes(
     records: &HashMap<String, Record>,
-    seen: &mut HashMap<String, SeenProcess>,
+    known_processes: &mut HashMap<String, KnownProcess>,
     now: Instant,
 ) {
     let processes = records.values().filter(|r| r.key.starts_with(KEY_PREFIX));
     for record in processes {
         let version = record.version;
-        let known = seen.get(&record.key).map(|process| process.version);
+        let known = known_processes
+            .get(&record.key)
+            .map(|process| process.version);
         if known != Some(version) {
             let peer = read_peer(record);
-            let process = SeenProcess {
+            let process = KnownProcess {
                 version,
-                at: now,
+                seen_at: now,
                 peer,
             };
-            seen.insert(record.key.clone(), process);
+            known_processes.insert(record.key.clone(), process);
         }
     }
-    seen.retain(|_, process| now.duration_since(process.at) < RECORD_LIFE);
+    known_processes.retain(|_, process| now.duration_since(process.seen_at) < RECORD_TTL);
 }
 
 fn read_peer(record: &Record) -> Option<Peer> {
--- a/crates/engine/src/leadership/mod.rs
+++ b/crates/engine/src/leadership/mod.rs
@@ -54,7 +54,7 @@
         fleet::register(&engine),
         rewriting::rewrite_lost(&engine),
         roster::maintain(&engine, &lease),
-        fleet::follow(&engine),
+        fleet::update_fleet(&engine),
         fleet_index::maintain(&engine, &lease),
         term_confirmation::maintain(&engine),
         following::follow(&engine, &lease),
