--- a/crates/engine/src/leadership/suspicion.rs
+++ b/crates/engine/src/leadership/suspicion.rs
@@ -14,23 +14,23 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// Silence after which a leader is asked.
-const SILENCE: Duration = Duration::from_millis(220);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(220);
 /// Time after which a leader is asked to which no connection can be opened.
-const UNREACHABLE: Duration = Duration::from_millis(20);
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(20);
 /// Time without an acknowledged commit after which replication is looked at.
-const COMMIT_STALL: Duration = Duration::from_millis(450);
+const COMMIT_STALL_TIMEOUT: Duration = Duration::from_millis(450);
 /// How long an entry may be away before its member is replaced as leader.
 const GONE_GRACE: Duration = Duration::from_millis(2_600);
 /// How much longer one that answers as leader is kept, as a share of the time for which members
 /// that leave are still used. Entries also go because the store takes too few of them, hundreds in
 /// one moment, and come back; a leader that has really left serves on for longer than this.
-const ANSWERING_SHARE: f64 = 0.75;
+const ANSWERING_GRACE_SHARE: f64 = 0.75;
 /// Longest wait for the answer to one question.
-const QUESTION_TIMEOUT: Duration = Duration::from_millis(220);
+const STATUS_TIMEOUT: Duration = Duration::from_millis(220);
 /// Pause between two questions.
-const QUESTION_PAUSE: Duration = Duration::from_millis(50);
+const STATUS_PAUSE: Duration = Duration::from_millis(50);
 /// Questions without an answer after which a leader counts as lost.
-const QUESTIONS: usize = 2;
+const STATUS_ATTEMPTS: usize = 2;
 
 /// Why a leader is suspected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -80,14 +80,15 @@
         }
         _ => {}
     }
-    let lasts = |since: Option<Instant>, limit| since.is_some_and(|at| now >= at + limit);
+    let has_lasted = |since: Option<Instant>, limit| since.is_some_and(|at| now >= at + limit);
     let health = engine.used_pool(&leader.id).map(|pool| pool.health());
     if let Some(health) = health
-        && (lasts(health.unreachable_since(), UNREACHABLE) || lasts(health.silent_since(), SILENCE))
+        && (has_lasted(health.unreachable_since(), UNREACHABLE_TIMEOUT)
+            || has_lasted(health.silent_since(), SILENCE_TIMEOUT))
     {
         return Some(Suspicion::Unreachable);
     }
-    if lasts(group.commit_waiting_since(), COMMIT_STALL) {
+    if has_lasted(group.commit_waiting_since(), COMMIT_STALL_TIMEOUT) {
         return Some(Suspicion::CommitsStalled);
     }
     None
@@ -95,37 +96,37 @@
 
 /// Looks at the leader of `group`; a suspicion that is returned was verified as far as
 /// this process can.
-pub async fn verified_suspicion(
+pub async fn verify(
     engine: &Engine,
     group: &Group,
     view: &LeaderView,
-    asked_to: bool,
+    is_reported: bool,
 ) -> Option<Suspicion> {
     let leader = view.leader.as_ref()?;
     let directory = engine.directory();
     let Some(member) = directory.member(leader) else {
         return Some(Suspicion::EntryGone);
     };
-    let hinted = hint(engine, group, member, Instant::now());
-    let hint = hinted.or(asked_to.then_some(Suspicion::Unreachable))?;
+    let traffic_hint = hint(engine, group, member, Instant::now());
+    let hint = traffic_hint.or(is_reported.then_some(Suspicion::Unreachable))?;
     match hint {
         Suspicion::Leaving | Suspicion::NotLeading | Suspicion::ZoneEvacuated => Some(hint),
-        Suspicion::EntryGone => verify_gone(engine, member).await,
-        Suspicion::Unreachable => verify_reachable(engine, group, member, asked_to).await,
+        Suspicion::EntryGone => verify_entry_gone(engine, member).await,
+        Suspicion::Unreachable => verify_reachable(engine, group, member, is_reported).await,
         Suspicion::CommitsStalled => verify_replication(engine, group, member).await,
     }
 }
 
 /// Whether a leader whose entry has gone is to be replaced: not while it answers as one, for a time.
-async fn verify_gone(engine: &Engine, leader: &Arc<Member>) -> Option<Suspicion> {
+async fn verify_entry_gone(engine: &Engine, leader: &Arc<Member>) -> Option<Suspicion> {
     let MemberState::Gone(gone) = leader.state else {
         return Some(Suspicion::EntryGone);
     };
-    let patience = engine.settings().leaving_use.mul_f64(ANSWERING_SHARE);
-    if gone.may_be_older_than(patience, Instant::now()) {
+    let answering_grace = engine.settings().leaving_use.mul_f64(ANSWERING_GRACE_SHARE);
+    if gone.may_be_older_than(answering_grace, Instant::now()) {
         return Some(Suspicion::EntryGone);
     }
-    match ask(engine, leader).await {
+    match request_status(engine, leader).await {
         Response::Report(report) if report.role == Role::Primary => None,
         _ => Some(Suspicion::EntryGone),
     }
@@ -135,26 +136,26 @@
     engine: &Engine,
     group: &Group,
     leader: &Arc<Member>,
-    asked_to: bool,
+    is_reported: bool,
 ) -> Option<Suspicion> {
     let began = Instant::now();
-    for _ in 0..QUESTIONS {
-        match ask(engine, leader).await {
+    for _ in 0..STATUS_ATTEMPTS {
+        match request_status(engine, leader).await {
             Response::Report(report) if report.role == Role::Replica => {
                 return Some(Suspicion::NotLeading);
             }
-            Response::Report(_) if asked_to => {
+            Response::Report(_) if is_reported => {
                 return verify_replication(engine, group, leader).await;
             }
             Response::Report(_) | Response::Declined(_) => return None,
             Response::RestartedEmpty => return Some(Suspicion::EntryGone),
-            Response::Down(_) | Response::Silent(_) => sleep(QUESTION_PAUSE).await,
+            Response::Down(_) | Response::Silent(_) => sleep(STATUS_PAUSE).await,
         }
     }
     // One that is slow to answer questions may still answer statements.
     let heard = engine.pool(leader).health().heard_at();
-    let lives = heard.is_some_and(|at| at >= began);
-    (!lives).then_some(Suspicion::Unreachable)
+    let is_alive = heard.is_some_and(|at| at >= began);
+    (!is_alive).then_some(Suspicion::Unreachable)
 }
 
 /// Whether any replica receives what the leader has in its log. Where no replica answers,
@@ -164,15 +165,15 @@
     group: &Group,
     leader: &Arc<Member>,
 ) -> Option<Suspicion> {
-    let report = match ask(engine, leader).await {
+    let report = match request_status(engine, leader).await {
         Response::Report(report) => report,
         Response::Declined(_) => return None,
         Response::RestartedEmpty => return Some(Suspicion::EntryGone),
         Response::Down(_) | Response::Silent(_) => return Some(Suspicion::Unreachable),
     };
     let mut suspicion = None;
-    for _ in 0..QUESTIONS {
-        sleep(QUESTION_PAUSE).await;
+    for _ in 0..STATUS_ATTEMPTS {
+        sleep(STATUS_PAUSE).await;
         let replicas = replica_reports(engine, group, leader).await;
         let received = replicas.iter().any(|r| r.received >= report.received);
         if received {
@@ -203,10 +204,10 @@
         .collect()
 }
 
-async fn ask(engine: &Engine, leader: &Arc<Member>) -> Response {
-    let asked = survey::send_control(engine, leader, Control::Status);
+async fn request_status(engine: &Engine, leader: &Arc<Member>) -> Response {
+    let status = survey::send_control(engine, leader, Control::Status);
     let silent = || Response::Silent("no answer in time".to_owned());
-    timeout(QUESTION_TIMEOUT, asked)
+    timeout(STATUS_TIMEOUT, status)
         .await
         .unwrap_or_else(|_| silent())
 }
--- a/crates/engine/src/leadership/watcher.rs
+++ b/crates/engine/src/leadership/watcher.rs
@@ -17,16 +17,16 @@
 use tokio::time::{Instant, sleep};
 
 /// Interval between two looks at the leaders.
-const LOOK_INTERVAL: Duration = Duration::from_millis(40);
+const CHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// Least time between two reports of one suspicion.
 const REPORT_INTERVAL: Duration = Duration::from_millis(700);
 /// How long a report counts.
-const REPORT_LIFE: Duration = Duration::from_millis(2_500);
+const REPORT_TTL: Duration = Duration::from_millis(2_500);
 /// Least number of processes that must suspect a leader which the holder itself finds
 /// well; a third of the fleet where that is more.
-const REPORTERS_NEEDED: usize = 2;
+const MIN_REPORTERS: usize = 2;
 /// Pause after a leader was asked and found well.
-const VERIFIED_PAUSE: Duration = Duration::from_millis(250);
+const HEALTHY_PAUSE: Duration = Duration::from_millis(250);
 /// Pause before a group is looked at again whose commits no replica receives.
 const STALLED_PAUSE: Duration = Duration::from_millis(800);
 /// Pause after a suspicion that another process has to act on.
@@ -36,11 +36,11 @@
 
 /// What the watcher remembers between two looks.
 #[derive(Debug, Default)]
-struct Memory {
+struct WatcherState {
     /// Groups that a task is looking after.
     busy: HashSet<GroupName>,
     /// When a suspicion was last reported.
-    reported: HashMap<GroupName, Instant>,
+    last_reported: HashMap<GroupName, Instant>,
     /// Groups whose leaders are being moved out of evacuated zones.
     moving: HashSet<GroupName>,
     /// How many of these there may be.
@@ -55,7 +55,7 @@
     engine: Arc<Engine>,
     promoter: Arc<dyn Promoter>,
     lease: Arc<PromotionLease>,
-    memory: Arc<Mutex<Memory>>,
+    state: Arc<Mutex<WatcherState>>,
 }
 
 /// Watches until the process ends.
@@ -68,20 +68,20 @@
         engine: Arc::clone(engine),
         promoter: Arc::clone(promoter),
         lease: Arc::clone(lease),
-        memory: Arc::default(),
+        state: Arc::default(),
     };
     let reports = watcher.clone();
-    tokio::spawn(async move { reports.take_reports().await });
+    tokio::spawn(async move { reports.collect_reports().await });
     loop {
-        watcher.look_around();
-        sleep(LOOK_INTERVAL).await;
+        watcher.check_groups();
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
 impl Watcher {
     /// Looks at the groups about which there is anything to be done. The holder of the lease
     /// looks at all; any other process at those of the members that it uses.
-    fn look_around(&self) {
+    fn check_groups(&self) {
         let holds_lease = self.lease.check().is_some();
         let mut names = match holds_lease {
             true => self.engine.configured_groups(),
@@ -94,20 +94,20 @@
         names.sort();
         names.dedup();
         if holds_lease {
-            self.memory().max_concurrent_moves =
+            self.state().max_concurrent_moves =
                 leader_evacuation::max_concurrent_moves(&self.engine, &names);
         }
         for name in names {
-            if self.is_due(&name, holds_lease) {
-                self.look_at(name);
+            if self.needs_check(&name, holds_lease) {
+                self.spawn_check(name);
             }
         }
     }
 
     /// Whether a look at the group could lead to anything.
-    fn is_due(&self, name: &GroupName, holds_lease: bool) -> bool {
+    fn needs_check(&self, name: &GroupName, holds_lease: bool) -> bool {
         if holds_lease
-            && (self.is_unfinished(name)
+            && (self.has_unfinished_promotion(name)
                 || leader_evacuation::should_move_leader(&self.engine, name))
         {
             return true;
@@ -127,23 +127,23 @@
     }
 
     /// Looks at one group in a task of its own, unless one does so already.
-    fn look_at(&self, name: GroupName) {
-        if !self.memory().busy.insert(name.clone()) {
+    fn spawn_check(&self, name: GroupName) {
+        if !self.state().busy.insert(name.clone()) {
             return;
         }
         let watcher = self.clone();
         tokio::spawn(async move {
             let group = watcher.engine.group(&name);
-            watcher.look(&group).await;
-            let mut memory = watcher.memory();
-            memory.moving.remove(&name);
-            memory.busy.remove(&name);
+            watcher.check_group(&group).await;
+            let mut state = watcher.state();
+            state.moving.remove(&name);
+            state.busy.remove(&name);
         });
     }
 
-    async fn look(&self, group: &Group) {
+    async fn check_group(&self, group: &Group) {
         let holds_lease = self.lease.check().is_some();
-        if holds_lease && self.is_unfinished(group.name()) {
+        if holds_lease && self.has_unfinished_promotion(group.name()) {
             self.promote(group.name()).await;
             return;
         }
@@ -153,19 +153,19 @@
         }
         let began = Instant::now();
         let reporters = self.reporters(group.name(), view.epoch);
-        let asked_to = holds_lease && reporters > 0;
-        let verified = suspicion::verified_suspicion(&self.engine, group, &view, asked_to).await;
-        let needed = REPORTERS_NEEDED.max(self.engine.watchers(group.name()).div_ceil(3));
-        let outvoted = reporters >= needed;
-        let mut suspicion = verified.or(outvoted.then_some(Suspicion::Unreachable));
+        let is_reported = holds_lease && reporters > 0;
+        let verified = suspicion::verify(&self.engine, group, &view, is_reported).await;
+        let needed = MIN_REPORTERS.max(self.engine.watchers(group.name()).div_ceil(3));
+        let is_reported_by_enough = reporters >= needed;
+        let mut suspicion = verified.or(is_reported_by_enough.then_some(Suspicion::Unreachable));
         if suspicion.is_none() && holds_lease && self.try_start_move(group.name()).await {
             suspicion = Some(Suspicion::ZoneEvacuated);
         }
         let (Some(suspicion), Some(leader)) = (suspicion, view.leader) else {
             if group.commits_stalled() {
                 sleep(STALLED_PAUSE).await;
-            } else if began.elapsed() > LOOK_INTERVAL {
-                sleep(VERIFIED_PAUSE).await;
+            } else if began.elapsed() > CHECK_INTERVAL {
+                sleep(HEALTHY_PAUSE).await;
             }
             return;
         };
@@ -200,23 +200,23 @@
             return false;
         }
         {
-            let mut memory = self.memory();
-            if memory.moving.len() >= memory.max_concurrent_moves {
+            let mut state = self.state();
+            if state.moving.len() >= state.max_concurrent_moves {
                 return false;
             }
-            memory.moving.insert(group.clone());
+            state.moving.insert(group.clone());
         }
-        let answers = leader_evacuation::has_caught_up_successor(&self.engine, group).await;
-        if !answers {
+        let has_successor = leader_evacuation::has_caught_up_successor(&self.engine, group).await;
+        if !has_successor {
             // Another group may move meanwhile.
-            self.memory().moving.remove(group);
-            sleep(VERIFIED_PAUSE).await;
+            self.state().moving.remove(group);
+            sleep(HEALTHY_PAUSE).await;
         }
-        answers
+        has_successor
     }
 
     /// Whether a promotion was begun and not completed.
-    fn is_unfinished(&self, group: &GroupName) -> bool {
+    fn has_unfinished_promotion(&self, group: &GroupName) -> bool {
         let known = self.engine.terms().known(group);
         known.is_some_and(|term| term.record.phase != TermPhase::Active)
     }
@@ -238,7 +238,7 @@
         while result == Err(PromotionError::TargetLost) {
             result = promotion.choose_again().await;
         }
-        self.memory().reports.remove(group);
+        self.state().reports.remove(group);
         if let Err(error) = result {
             log::warn!("promotion in {group}: {error}");
             sleep(FAILED_PAUSE).await;
@@ -248,11 +248,11 @@
     async fn report(&self, group: &GroupName, epoch: Epoch, suspicion: Suspicion) {
         let now = Instant::now();
         let due = {
-            let mut memory = self.memory();
-            let last = memory.reported.get(group);
+            let mut state = self.state();
+            let last = state.last_reported.get(group);
             let due = last.is_none_or(|at| now.duration_since(*at) > REPORT_INTERVAL);
             if due {
-                memory.reported.insert(group.clone(), now);
+                state.last_reported.insert(group.clone(), now);
             }
             due
         };
@@ -262,7 +262,7 @@
     }
 
     /// Learns of suspicions that others record.
-    async fn take_reports(&self) {
+    async fn collect_reports(&self) {
         let mut others = self.engine.terms().subscribe_other_records();
         let mut versions: HashMap<String, u64> = HashMap::new();
         loop {
@@ -273,8 +273,8 @@
                 else {
                     continue;
                 };
-                let mut memory = self.memory();
-                let of_group = memory.reports.entry(report.group).or_default();
+                let mut state = self.state();
+                let of_group = state.reports.entry(report.group).or_default();
                 of_group.insert(report.reporter, (report.epoch, Instant::now()));
             }
             if others.changed().await.is_err() {
@@ -286,17 +286,17 @@
     /// How many processes suspect the leader of `epoch` now.
     fn reporters(&self, group: &GroupName, epoch: Epoch) -> usize {
         let now = Instant::now();
-        let memory = self.memory();
-        let of_group = memory.reports.get(group);
+        let state = self.state();
+        let of_group = state.reports.get(group);
         of_group.map_or(0, |reports| {
             let current = reports.values().filter(|(reported, at)| {
-                *reported == epoch && now.duration_since(*at) < REPORT_LIFE
+                *reported == epoch && now.duration_since(*at) < REPORT_TTL
             });
             current.count()
         })
     }
 
-    fn memory(&self) -> std::sync::MutexGuard<'_, Memory> {
-        self.memory.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> std::sync::MutexGuard<'_, WatcherState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
