--- a/crates/engine/src/leadership/mod.rs
+++ b/crates/engine/src/leadership/mod.rs
@@ -21,9 +21,9 @@
 mod rewriting;
 pub mod roster;
 mod settling;
+mod step_events;
 pub mod survey;
 pub mod suspicion;
-mod telling;
 pub(crate) mod term_confirmation;
 mod watcher;
 
--- a/crates/engine/src/leadership/promotion.rs
+++ b/crates/engine/src/leadership/promotion.rs
@@ -160,7 +160,7 @@
             };
             let stragglers = StragglerPolicy::SKIP_ONE_STRAGGLER;
             let fenced = survey::survey(&self.engine, &self.group, control_for, stragglers).await;
-            self.tell_fence(&term.record, &fenced);
+            self.emit_fence(&term.record, &fenced);
             let evacuations = self.engine.evacuations();
             let survey = FenceSurvey {
                 members: &fenced,
@@ -181,7 +181,7 @@
                     };
                     return self.advance(chosen, term.version).await;
                 }
-                Err(obstacle) => self.tell_obstacle(&term.record, &obstacle),
+                Err(obstacle) => self.emit_obstacle(&term.record, &obstacle),
             }
             sleep(FENCE_PAUSE).await;
         }
@@ -241,7 +241,7 @@
             Ok(()) => "accepted".to_owned(),
             Err(error) => error.to_string(),
         };
-        self.tell(record, "order", Some(target.clone()), None, text);
+        self.emit_step(record, "order", Some(target.clone()), None, text);
         Ok(result)
     }
 
@@ -317,7 +317,7 @@
                 Err(_) => None,
             };
             if let Some(version) = stored {
-                self.tell(
+                self.emit_step(
                     &record,
                     "recorded",
                     record.target.clone(),
--- a/crates/engine/src/leadership/settling.rs
+++ b/crates/engine/src/leadership/settling.rs
@@ -73,6 +73,6 @@
             return;
         };
         let response = survey::send_control(&self.engine, member, control).await;
-        self.tell_response(&term.record, "settle", &member.id, &response);
+        self.emit_response(&term.record, "settle", &member.id, &response);
     }
 }
--- a/crates/engine/src/leadership/telling.rs
+++ b/crates/engine/src/leadership/step_events.rs
@@ -9,18 +9,18 @@
 use crate::ports::MemberReport;
 
 impl Promotion {
-    pub(super) fn tell_fence(&self, record: &TermRecord, members: &[SurveyedMember]) {
+    pub(super) fn emit_fence(&self, record: &TermRecord, members: &[SurveyedMember]) {
         for surveyed in members {
             let id = &surveyed.member.id;
-            self.tell_response(record, "fence", id, &surveyed.response);
+            self.emit_response(record, "fence", id, &surveyed.response);
         }
     }
 
-    pub(super) fn tell_obstacle(&self, record: &TermRecord, obstacle: &Obstacle) {
-        self.tell(record, "choose", None, None, format!("{obstacle:?}"));
+    pub(super) fn emit_obstacle(&self, record: &TermRecord, obstacle: &Obstacle) {
+        self.emit_step(record, "choose", None, None, format!("{obstacle:?}"));
     }
 
-    pub(super) fn tell_response(
+    pub(super) fn emit_response(
         &self,
         record: &TermRecord,
         step: &'static str,
@@ -35,10 +35,10 @@
             Response::Silent(reason) => format!("silent: {reason}"),
         };
         let report = response.report().copied();
-        self.tell(record, step, Some(member.clone()), report, text);
+        self.emit_step(record, step, Some(member.clone()), report, text);
     }
 
-    pub(super) fn tell(
+    pub(super) fn emit_step(
         &self,
         record: &TermRecord,
         step: &'static str,
