--- a/crates/engine/src/leadership/promotion.rs
+++ b/crates/engine/src/leadership/promotion.rs
@@ -34,17 +34,17 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// Time for which a leader that is to hand over finishes what it was sent.
-const FINISHING_TIME: Duration = Duration::from_millis(60);
+const DRAIN_TIME: Duration = Duration::from_millis(60);
 /// Pause before the members are asked again while the fence is not complete.
 const FENCE_PAUSE: Duration = Duration::from_millis(80);
 /// Pause between two questions whether the target leads already.
-const TARGET_PAUSE: Duration = Duration::from_millis(30);
+const TARGET_POLL_INTERVAL: Duration = Duration::from_millis(30);
 /// Time after which an order whose effect is not seen is given again.
-const ORDER_AGAIN: Duration = Duration::from_millis(900);
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(900);
 /// Time after which a target that does not take the lead is given up.
 const TARGET_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Changes of leader of a group that one era of the store can count.
-const EPOCHS_OF_AN_ERA: Epoch = 1 << 32;
+const EPOCHS_PER_ERA: Epoch = 1 << 32;
 /// Pause after the store gave no answer.
 const STORE_PAUSE: Duration = Duration::from_millis(80);
 
@@ -109,7 +109,7 @@
     /// # Errors
     ///
     /// As for [`Promotion::run`].
-    pub async fn choose_again(&self) -> Result<(), PromotionError> {
+    pub async fn retry_with_new_target(&self) -> Result<(), PromotionError> {
         let known = self.engine.terms().known(&self.group);
         self.begin(known).await?;
         self.run().await
@@ -131,7 +131,7 @@
         };
         let version = known.map_or(0, |term| term.version);
         let term = self.store(record, version).await?;
-        sleep(FINISHING_TIME).await;
+        sleep(DRAIN_TIME).await;
         self.fence(term).await
     }
 
@@ -145,14 +145,14 @@
         self.load_roster().await?;
         loop {
             self.check_lease()?;
-            let asked = survey::survey(
+            let surveyed = survey::survey(
                 &self.engine,
                 &self.group,
                 |_| Control::Status,
                 StragglerPolicy::SKIP_ONE_STRAGGLER,
             )
             .await;
-            let fencing = fencing_term(&asked);
+            let fencing = fencing_term(&surveyed);
             self.check_lease()?;
             let control_for = |member: &Member| match previous.is(member) {
                 true => Control::Demote(fencing),
@@ -175,7 +175,7 @@
                 Ok(target) => {
                     let chosen = TermRecord {
                         phase: TermPhase::Promoting,
-                        target_received: received_by(&target, &fenced),
+                        target_received: received_position(&target, &fenced),
                         target: Some(target),
                         ..term.record
                     };
@@ -202,20 +202,20 @@
             return Err(PromotionError::TargetLost);
         };
         let began = Instant::now();
-        let mut ordered: Option<Instant> = None;
+        let mut last_order: Option<Instant> = None;
         while began.elapsed() < TARGET_TIMEOUT {
-            if ordered.is_none_or(|at| at.elapsed() > ORDER_AGAIN) {
-                if self.has_started_again(record, &target).await {
+            if last_order.is_none_or(|at| at.elapsed() > ORDER_RETRY_INTERVAL) {
+                if self.has_restarted(record, &target).await {
                     return Err(PromotionError::TargetLost);
                 }
-                match self.order(record, &target).await? {
-                    Ok(()) | Err(PromoteError::Unknown(_)) => ordered = Some(Instant::now()),
+                match self.send_promote_order(record, &target).await? {
+                    Ok(()) | Err(PromoteError::Unknown(_)) => last_order = Some(Instant::now()),
                     Err(PromoteError::TargetDown) => return Err(PromotionError::TargetLost),
                     Err(_) => {}
                 }
             }
-            sleep(TARGET_PAUSE).await;
-            if self.leads(&target).await {
+            sleep(TARGET_POLL_INTERVAL).await;
+            if self.is_primary(&target).await {
                 self.settle_others(&target);
                 return Ok(());
             }
@@ -224,7 +224,7 @@
     }
 
     /// Gives the order once, with the lease checked directly before.
-    async fn order(
+    async fn send_promote_order(
         &self,
         record: &TermRecord,
         target: &MemberId,
@@ -245,8 +245,8 @@
         Ok(result)
     }
 
-    async fn leads(&self, target: &MemberId) -> bool {
-        let response = self.ask(target).await;
+    async fn is_primary(&self, target: &MemberId) -> bool {
+        let response = self.request_status(target).await;
         let report = response.as_ref().and_then(Response::report);
         report.is_some_and(|report| report.role == Role::Primary)
     }
@@ -254,11 +254,11 @@
     /// Whether the target has started since it was paused, and may have nothing of what it was
     /// chosen for. An order names a server, not its life: an empty one would take the lead, and
     /// have the others drop what they hold.
-    async fn has_started_again(&self, record: &TermRecord, target: &MemberId) -> bool {
+    async fn has_restarted(&self, record: &TermRecord, target: &MemberId) -> bool {
         // The old leader was demoted in place of being paused.
         let was_paused = record.previous.as_ref() != Some(target)
             && record.previous_address != record.target_address;
-        match self.ask(target).await {
+        match self.request_status(target).await {
             Some(Response::RestartedEmpty) => true,
             Some(Response::Report(report)) => {
                 was_paused && report.role == Role::Replica && report.paused_for == 0
@@ -267,7 +267,7 @@
         }
     }
 
-    async fn ask(&self, target: &MemberId) -> Option<Response> {
+    async fn request_status(&self, target: &MemberId) -> Option<Response> {
         let directory = self.engine.directory();
         let member = directory.member(target)?;
         Some(survey::send_control(&self.engine, member, Control::Status).await)
@@ -312,8 +312,8 @@
                 .put_if(&key, expected, value.clone());
             let stored = match put.await {
                 Ok(PutOutcome::Stored(version)) => Some(version),
-                Ok(PutOutcome::Conflict) => Some(self.find_own(&record).await?),
-                Err(RecordStoreError::Unknown(_)) => self.find_own(&record).await.ok(),
+                Ok(PutOutcome::Conflict) => Some(self.find_own_write(&record).await?),
+                Err(RecordStoreError::Unknown(_)) => self.find_own_write(&record).await.ok(),
                 Err(_) => None,
             };
             if let Some(version) = stored {
@@ -336,7 +336,7 @@
 
     /// The version of `record`, if that is what the store has: an earlier write whose
     /// answer was lost may have been done.
-    async fn find_own(&self, record: &TermRecord) -> Result<StoreVersion, PromotionError> {
+    async fn find_own_write(&self, record: &TermRecord) -> Result<StoreVersion, PromotionError> {
         let key = TermRecord::key(&self.group);
         let changes = self.engine.terms().store().read(&key).await;
         let changes = changes.map_err(|_| PromotionError::Superseded)?;
@@ -353,7 +353,7 @@
 }
 
 /// How far `target` has received the log, as it told when the members were fenced.
-fn received_by(target: &MemberId, fenced: &[SurveyedMember]) -> Option<LogPosition> {
+fn received_position(target: &MemberId, fenced: &[SurveyedMember]) -> Option<LogPosition> {
     let chosen = fenced.iter().find(|known| known.member.id == *target)?;
     Some(chosen.response.report()?.received)
 }
@@ -362,6 +362,6 @@
 /// That of an era of the store is greater than all of earlier eras: one that the store has lost
 /// is not given to another leader.
 fn next_epoch(known: Option<&VersionedTerm>, version: StoreVersion) -> Epoch {
-    let before = known.map_or(0, |term| term.record.epoch);
-    (before + 1).max(era_of(version).saturating_mul(EPOCHS_OF_AN_ERA))
+    let previous_epoch = known.map_or(0, |term| term.record.epoch);
+    (previous_epoch + 1).max(era_of(version).saturating_mul(EPOCHS_PER_ERA))
 }
--- a/crates/engine/src/leadership/settling.rs
+++ b/crates/engine/src/leadership/settling.rs
@@ -12,7 +12,7 @@
 /// Pause between two looks at the members that are to follow a new leader.
 const SETTLING_PAUSE: Duration = Duration::from_millis(400);
 /// Such looks, at the most.
-const SETTLING_ROUNDS: usize = 12;
+const MAX_SETTLING_ROUNDS: usize = 12;
 
 impl Promotion {
     /// Brings the other members to follow the new leader, in a task of its own.
@@ -24,7 +24,7 @@
         let this = self.clone();
         let target = target.clone();
         tokio::spawn(async move {
-            for _ in 0..SETTLING_ROUNDS {
+            for _ in 0..MAX_SETTLING_ROUNDS {
                 if this.lease.check().is_none() || this.settle_once(&target).await {
                     return;
                 }
@@ -36,36 +36,37 @@
     /// Returns whether nothing is left to do.
     async fn settle_once(&self, target: &MemberId) -> bool {
         let stragglers = StragglerPolicy::WAIT_FOR_ALL;
-        let asked =
+        let surveyed =
             survey::survey(&self.engine, &self.group, |_| Control::Status, stragglers).await;
-        let leader = asked.iter().find(|known| known.member.id == *target);
+        let leader = surveyed.iter().find(|known| known.member.id == *target);
         let Some(leader) = leader.and_then(|known| known.response.report()) else {
             return false;
         };
-        let others = || asked.iter().filter(|known| known.member.id != *target);
-        let mut settled = true;
+        let others = || surveyed.iter().filter(|known| known.member.id != *target);
+        let mut is_settled = true;
         for known in others() {
             let report = known.response.report();
             if report.is_some_and(|report| report.role == Role::Primary) {
-                settled = false;
-                self.give(&known.member, Control::Demote(leader.term)).await;
+                is_settled = false;
+                self.send_control(&known.member, Control::Demote(leader.term))
+                    .await;
             }
         }
-        let unknown = others().any(|known| matches!(known.response, Response::Silent(_)));
-        if !settled || unknown {
+        let has_unknown = others().any(|known| matches!(known.response, Response::Silent(_)));
+        if !is_settled || has_unknown {
             return false;
         }
         for known in others() {
             let report = known.response.report();
             if report.is_some_and(|report| report.paused_for > 0) {
-                self.give(&known.member, Control::Resume).await;
+                self.send_control(&known.member, Control::Resume).await;
             }
         }
         true
     }
 
     /// Gives an order after the promotion, if the lease is still held.
-    async fn give(&self, member: &Arc<Member>, control: Control) {
+    async fn send_control(&self, member: &Arc<Member>, control: Control) {
         let (Some(term), true) = (
             self.engine.terms().known(&self.group),
             self.lease.check().is_some(),
--- a/crates/engine/src/leadership/watcher.rs
+++ b/crates/engine/src/leadership/watcher.rs
@@ -236,7 +236,7 @@
             .await;
         let mut result = promotion.run().await;
         while result == Err(PromotionError::TargetLost) {
-            result = promotion.choose_again().await;
+            result = promotion.retry_with_new_target().await;
         }
         self.state().reports.remove(group);
         if let Err(error) = result {
