--- a/crates/engine/src/leadership/choice.rs
+++ b/crates/engine/src/leadership/choice.rs
@@ -41,12 +41,12 @@
 
 impl PreviousLeader {
     /// Whether `member` is the old leader, or has come back in its place.
-    pub fn is(&self, member: &Member) -> bool {
+    pub fn matches(&self, member: &Member) -> bool {
         self.id.as_ref() == Some(&member.id) || self.address == Some(member.address)
     }
 
     /// Whether `member` is a later life of the old leader's server.
-    fn has_ended(&self, member: &Member) -> bool {
+    fn is_later_incarnation(&self, member: &Member) -> bool {
         let id = self.id.as_ref();
         id.is_some_and(|id| are_lives_of_one(id, &member.id))
     }
@@ -82,27 +82,27 @@
         if old_log.is_none() && self.sync_replicas > 0 {
             self.check_fence(now)?;
         }
-        match self.choose_other(old_log, now) {
+        match self.choose_replica(old_log, now) {
             // The old leader itself holds everything, and leads nobody any more.
-            Err(obstacle) if old_log.is_some() => self.staying_previous().ok_or(obstacle),
+            Err(obstacle) if old_log.is_some() => self.previous_if_staying().ok_or(obstacle),
             chosen => chosen,
         }
     }
 
-    fn choose_other(
+    fn choose_replica(
         &self,
         old_log: Option<LogPosition>,
         now: Instant,
     ) -> Result<MemberId, Obstacle> {
-        let (member, received) = self.best_other().ok_or(Obstacle::NoCandidate)?;
+        let (member, received) = self.best_replica().ok_or(Obstacle::NoCandidate)?;
         if self.sync_replicas > 0 {
             self.check_complete(received, old_log, now)?;
-            self.check_known(received, old_log)?;
+            self.check_known_members(received, old_log)?;
         }
         Ok(member)
     }
 
-    fn staying_previous(&self) -> Option<MemberId> {
+    fn previous_if_staying(&self) -> Option<MemberId> {
         let mut old = self.members.iter().filter(|m| self.is_previous(m));
         let staying = old.find(|m| m.member.state.takes_work())?;
         Some(staying.member.id.clone())
@@ -113,24 +113,26 @@
     /// started again and holds nothing of before.
     fn demoted_log(&self) -> Option<LogPosition> {
         let old = self.members.iter().filter(|m| self.is_previous(m));
-        let old = old.filter(|member| !self.previous.has_ended(&member.member));
+        let old = old.filter(|member| !self.previous.is_later_incarnation(&member.member));
         let mut reports = old.filter_map(|member| member.response.report());
         let report = reports.next()?;
-        let is_whole = report.received.number > 0
+        let is_complete = report.received.number > 0
             && self.known.is_none_or(|known| report.received >= known)
             && self
-                .best_other()
+                .best_replica()
                 .is_none_or(|(_, other)| report.received >= other);
-        (report.role == Role::Replica && is_whole).then_some(report.received)
+        (report.role == Role::Replica && is_complete).then_some(report.received)
     }
 
     /// Every other member is paused, does not run, or has left.
     fn check_fence(&self, now: Instant) -> Result<(), Obstacle> {
-        let unfenced = self.others(now).find(|member| match &member.response {
-            Response::Report(report) => report.paused_for < self.term,
-            Response::Down(_) | Response::RestartedEmpty => false,
-            Response::Declined(_) | Response::Silent(_) => true,
-        });
+        let unfenced = self
+            .other_members(now)
+            .find(|member| match &member.response {
+                Response::Report(report) => report.paused_for < self.term,
+                Response::Down(_) | Response::RestartedEmpty => false,
+                Response::Declined(_) | Response::Silent(_) => true,
+            });
         match unfenced {
             Some(member) => Err(Obstacle::NotFenced(member.member.id.clone())),
             None => Ok(()),
@@ -147,14 +149,14 @@
         if old_log.is_some_and(|old| received >= old) {
             return Ok(());
         }
-        let unread = self
-            .others(now)
+        let unanswered = self
+            .other_members(now)
             .find(|member| member.response.report().is_none());
         // What has left took its log along. The others hold that too once they have
         // received as much as the leader is known to have had.
-        let left = self.members.iter().find(|member| member.has_left(now));
-        let left = left.filter(|_| self.known.is_some_and(|known| received < known));
-        match unread.or(left) {
+        let departed = self.members.iter().find(|member| member.has_left(now));
+        let departed = departed.filter(|_| self.known.is_some_and(|known| received < known));
+        match unanswered.or(departed) {
             Some(member) => Err(Obstacle::MayHoldMore(member.member.id.clone())),
             None => Ok(()),
         }
@@ -163,7 +165,7 @@
     /// The leader may have had commits acknowledged through a replica that is not known here: at a
     /// start the store may take a server's first entry many seconds late. With as few replicas as a
     /// commit needs, the next leader could have none acknowledged anyway.
-    fn check_known(
+    fn check_known_members(
         &self,
         received: LogPosition,
         old_log: Option<LogPosition>,
@@ -181,7 +183,7 @@
 
     /// The replica that has received most; among equals one outside evacuated zones and one that
     /// stays, and then one of the old leader's region, where those that write have been near it.
-    fn best_other(&self) -> Option<(MemberId, LogPosition)> {
+    fn best_replica(&self) -> Option<(MemberId, LogPosition)> {
         let candidates = self.members.iter().filter_map(|member| {
             let report = member.response.report()?;
             let stays = member.member.state.takes_work();
@@ -202,7 +204,7 @@
     }
 
     /// Members other than the old leader that have not left.
-    fn others(&self, now: Instant) -> impl Iterator<Item = &SurveyedMember> {
+    fn other_members(&self, now: Instant) -> impl Iterator<Item = &SurveyedMember> {
         let members = self.members.iter();
         members.filter(move |member| !self.is_previous(member) && !member.has_left(now))
     }
@@ -215,7 +217,7 @@
     }
 
     fn is_previous(&self, member: &SurveyedMember) -> bool {
-        self.previous.is(&member.member)
+        self.previous.matches(&member.member)
     }
 }
 
--- a/crates/engine/src/leadership/freshness.rs
+++ b/crates/engine/src/leadership/freshness.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Longest time for one question.
-const QUESTION_TIMEOUT: Duration = Duration::from_millis(250);
+const POSITION_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A position that covers every commit acknowledged before `moment`, learned by `until`.
 ///
@@ -41,7 +41,7 @@
     {
         return Some(position);
     }
-    let leader_until = until.min(Instant::now() + QUESTION_TIMEOUT);
+    let leader_until = until.min(Instant::now() + POSITION_TIMEOUT);
     let _ = timeout_at(leader_until, ask_leader(engine, group)).await;
     if let Some(position) = group.covering_position(moment) {
         return Some(position);
@@ -69,11 +69,11 @@
     let stragglers = StragglerPolicy::SKIP_ONE_STRAGGLER;
     let members = engine.directory().members_of(group.name());
     let schedule = engine.evacuation_schedule();
-    let may_ask = |member: &Arc<Member>| {
+    let may_send = |member: &Arc<Member>| {
         let checked = schedule.check(&member.zone, Sender::Session, sent);
         checked.is_ok()
     };
-    let (asked, held_back): (Vec<_>, Vec<_>) = members.into_iter().partition(may_ask);
+    let (asked, held_back): (Vec<_>, Vec<_>) = members.into_iter().partition(may_send);
     let mut members = survey::survey_members(engine, asked, |_| Control::Status, stragglers).await;
     members.extend(held_back.into_iter().map(|member| SurveyedMember {
         member,
@@ -84,7 +84,7 @@
         let answered = member.response.report().is_some();
         // A life that has ended took its log along, however long ago: nobody tells how far it was.
         let has_left = member.has_left(sent) && member.response != Response::RestartedEmpty;
-        !answered && !has_left && !is_succeeded(member, &members)
+        !answered && !has_left && !is_replaced(member, &members)
     });
     if silent.count() <= engine.sync_replicas(group.name())
         && let Some(position) = reports.map(|report| report.received).max()
@@ -94,13 +94,13 @@
 }
 
 /// Whether another server has come back in the member's place, with its log.
-fn is_succeeded(member: &SurveyedMember, members: &[SurveyedMember]) -> bool {
-    let in_place = |other: &SurveyedMember| {
+fn is_replaced(member: &SurveyedMember, members: &[SurveyedMember]) -> bool {
+    let same_address = |other: &SurveyedMember| {
         let is_other = other.member.id != member.member.id
             && !are_lives_of_one(&other.member.id, &member.member.id);
         is_other && other.member.address == member.member.address
     };
-    member.member.is_gone() && members.iter().any(in_place)
+    member.member.is_gone() && members.iter().any(same_address)
 }
 
 /// Opens a transaction at the leader and ends it at once: its answer tells the position
@@ -114,7 +114,7 @@
     let topology = &engine.settings().topology;
     let member = Residency::ANYWHERE.admit(topology, Arc::clone(member))?;
     let pool = engine.session_pool(&member);
-    let until = now + QUESTION_TIMEOUT;
+    let until = now + POSITION_TIMEOUT;
     let mut connection = pool.get().acquire(&Claim::own(), until).await.ok()?;
     let sent = Instant::now();
     let begin = Command::Begin {
--- a/crates/engine/src/leadership/lease_records.rs
+++ b/crates/engine/src/leadership/lease_records.rs
@@ -14,20 +14,20 @@
 
 /// Keeps lease records among the other records.
 #[derive(Debug)]
-pub(crate) struct RecordLeases {
+pub(crate) struct RecordLeaseStore {
     records: Arc<dyn RecordStore>,
     /// The record as it was last read or written: a renewal needs no reading before it.
-    last: Mutex<Option<(LeaseRecord, StoreVersion)>>,
+    last_seen: Mutex<Option<(LeaseRecord, StoreVersion)>>,
     /// The store's era, by its latest answer.
     era: Mutex<Option<StoreEra>>,
 }
 
-impl RecordLeases {
+impl RecordLeaseStore {
     /// Leases in `records`; none has been read yet.
     pub(crate) fn new(records: Arc<dyn RecordStore>) -> Self {
         Self {
             records,
-            last: Mutex::new(None),
+            last_seen: Mutex::new(None),
             era: Mutex::new(None),
         }
     }
@@ -39,8 +39,8 @@
         key: &str,
         expected: Option<&LeaseRecord>,
     ) -> Result<Option<StoreVersion>, RecordStoreError> {
-        let last = self.last().clone();
-        if let (Some((record, version)), Some(expected)) = (last, expected)
+        let last_seen = self.last_seen().clone();
+        if let (Some((record, version)), Some(expected)) = (last_seen, expected)
             && record == *expected
         {
             return Ok(Some(version));
@@ -50,8 +50,10 @@
         Ok(same.then(|| current.map_or(0, |current| current.version)))
     }
 
-    fn last(&self) -> MutexGuard<'_, Option<(LeaseRecord, u64)>> {
-        self.last.lock().unwrap_or_else(PoisonError::into_inner)
+    fn last_seen(&self) -> MutexGuard<'_, Option<(LeaseRecord, u64)>> {
+        self.last_seen
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn note_era(&self, answered: StoreVersion) {
@@ -71,7 +73,7 @@
 }
 
 #[async_trait]
-impl LeaseStore for RecordLeases {
+impl LeaseStore for RecordLeaseStore {
     fn era(&self) -> Option<u64> {
         *self.lock_era()
     }
@@ -97,11 +99,11 @@
         match put.map_err(translate)? {
             PutOutcome::Stored(version) => {
                 self.note_era(version);
-                *self.last() = Some((record.clone(), version));
+                *self.last_seen() = Some((record.clone(), version));
                 Ok(LeasePutOutcome::Stored)
             }
             PutOutcome::Conflict => {
-                *self.last() = None;
+                *self.last_seen() = None;
                 Ok(LeasePutOutcome::Conflict)
             }
         }
--- a/crates/engine/src/leadership/promotion.rs
+++ b/crates/engine/src/leadership/promotion.rs
@@ -154,7 +154,7 @@
             .await;
             let fencing = fencing_term(&surveyed);
             self.check_lease()?;
-            let control_for = |member: &Member| match previous.is(member) {
+            let control_for = |member: &Member| match previous.matches(member) {
                 true => Control::Demote(fencing),
                 false => Control::Pause(fencing),
             };
--- a/crates/engine/src/leadership/promotion_lease.rs
+++ b/crates/engine/src/leadership/promotion_lease.rs
@@ -1,7 +1,7 @@
 //! The lease under which one process of the fleet gives promotion orders.
 
 use super::fleet;
-use super::lease_records::RecordLeases;
+use super::lease_records::RecordLeaseStore;
 use crate::engine::{Engine, StopPhase};
 use crate::events::Event;
 use crate::link::Link;
@@ -137,7 +137,7 @@
             NodeId::new(&*engine.settings().node),
             Incarnation(rand::random()),
             LEASE_SETTINGS,
-            Arc::new(RecordLeases::new(records)),
+            Arc::new(RecordLeaseStore::new(records)),
             Arc::new(self.clock.clone()),
         )
         .reclaiming_earlier_lives();
--- a/crates/engine/src/rate/pursuit.rs
+++ b/crates/engine/src/rate/pursuit.rs
@@ -5,7 +5,7 @@
 use crate::engine::{Engine, StopPhase};
 use crate::events::Event;
 use crate::leadership::fleet;
-use crate::leadership::lease_records::RecordLeases;
+use crate::leadership::lease_records::RecordLeaseStore;
 use crate::link::{Link, SUSPECT_AFTER};
 use futures::future::join_all;
 use std::sync::Arc;
@@ -95,7 +95,7 @@
         NodeId::new(&*engine.settings().node),
         Incarnation(rand::random()),
         LEASE_SETTINGS,
-        Arc::new(RecordLeases::new(Arc::clone(engine.lease_records()))),
+        Arc::new(RecordLeaseStore::new(Arc::clone(engine.lease_records()))),
         Arc::new(CountersClock(Arc::clone(engine))),
     )
     .reclaiming_earlier_lives();
--- a/crates/engine/src/session/write.rs
+++ b/crates/engine/src/session/write.rs
@@ -227,7 +227,7 @@
         biased;
         answer = running => Awaited::Answered(answer),
         () = tokio::time::sleep_until(until) => Awaited::TimedOut,
-        () = access::superseded(group, leader.epoch) => Awaited::Superseded,
+        () = access::wait_until_superseded(group, leader.epoch) => Awaited::Superseded,
     }
 }
 
