--- a/crates/engine/src/leadership/mod.rs
+++ b/crates/engine/src/leadership/mod.rs
@@ -18,13 +18,13 @@
 pub mod promotion_lease;
 pub mod record;
 mod report;
-mod rewriting;
 pub mod roster;
 mod settling;
 mod step_events;
 pub mod survey;
 pub mod suspicion;
 pub(crate) mod term_confirmation;
+mod term_recovery;
 mod watcher;
 
 use crate::engine::Engine;
@@ -52,7 +52,7 @@
         lease.run(&engine),
         watcher::watch(&engine, &promoter, &lease),
         fleet::register(&engine),
-        rewriting::rewrite_lost(&engine),
+        term_recovery::rewrite_lost_terms(&engine),
         roster::maintain(&engine, &lease),
         fleet::update_fleet(&engine),
         fleet_index::maintain(&engine, &lease),
--- a/crates/engine/src/leadership/rewriting.rs
+++ b/crates/engine/src/leadership/term_recovery.rs
@@ -13,16 +13,16 @@
 
 /// Writes lost records again until the process ends. In a large fleet many know them: those do
 /// that follow the store themselves, and who wrote a record last.
-pub async fn rewrite_lost(engine: &Engine) {
+pub async fn rewrite_lost_terms(engine: &Engine) {
     let mut lost = engine.terms().subscribe_lost();
     // The sender lives as long as this does.
     while lost.wait_for(|groups| !groups.is_empty()).await.is_ok() {
         let groups = lost.borrow_and_update().clone();
-        let mut failed = false;
+        let mut has_failed = false;
         for group in groups {
-            failed |= rewrite(engine, &group).await.is_err();
+            has_failed |= rewrite_term(engine, &group).await.is_err();
         }
-        if failed {
+        if has_failed {
             sleep(RETRY_PAUSE.mul_f64(0.5 + rand::random::<f64>())).await;
         }
     }
@@ -30,13 +30,13 @@
 
 /// Writes the record of `group` over what the store has, if that is for this process to do. Where
 /// another process has written meanwhile, what it wrote will be told.
-async fn rewrite(engine: &Engine, group: &GroupName) -> Result<(), RecordStoreError> {
+async fn rewrite_term(engine: &Engine, group: &GroupName) -> Result<(), RecordStoreError> {
     let terms = engine.terms();
     let known = terms.known(group);
-    let writes = |term: &VersionedTerm| {
+    let is_writer = |term: &VersionedTerm| {
         engine.following().is_direct() || term.record.holder == engine.settings().node
     };
-    let Some(term) = known.filter(writes) else {
+    let Some(term) = known.filter(is_writer) else {
         terms.clear_lost(group);
         return Ok(());
     };
