--- a/crates/engine/src/leadership/fleet.rs
+++ b/crates/engine/src/leadership/fleet.rs
@@ -1,7 +1,7 @@
-//! How many processes the fleet has, from the records that they keep of themselves.
+//! The processes of the fleet, from the record that each keeps of itself.
 //!
-//! A member accepts a bounded number of connections from all processes together; the
-//! share of each follows from their number.
+//! A member accepts a limited number of connections from all processes together. The share of each
+//! process follows from their number.
 
 use super::fleet_index::FleetIndex;
 use crate::encoding;
@@ -17,36 +17,36 @@
 
 /// Prefix of the keys of these records.
 pub(super) const KEY_PREFIX: &str = "node/";
-/// Interval in which a process renews its record.
+/// Interval at which a process renews its record.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(120);
-/// Time after which a process whose record was not renewed no longer counts.
+/// Time after which a process whose record was not renewed is no longer counted.
 const RECORD_TTL: Duration = Duration::from_secs(400);
-/// Weight of a process that does not tell how many cores it may use.
+/// Weight of a process whose record doesn't state how many cores it may use.
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// Pause after a failed write; longer after each one that follows, up to [`MAX_PAUSE_DOUBLINGS`] times:
-/// a fleet that starts writes more records at once than the store takes in a second.
+/// Pause after a failed write, doubled after each further failure up to [`MAX_PAUSE_DOUBLINGS`]
+/// times: a fleet that starts writes more records at once than the store accepts in a second.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
-/// How often that pause doubles at the most.
+/// Maximum number of times that [`RETRY_PAUSE`] is doubled.
 const MAX_PAUSE_DOUBLINGS: u32 = 2;
-/// Greatest number: more than one process needs would only wait in the member's queue.
+/// Maximum share: further connections would only wait in the member's queue.
 const MAX_SHARE: usize = 6;
 
-/// What a process tells of itself.
+/// The record that a process keeps of itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct NodeRecord {
-    /// Where it answers other processes.
+    /// The address on which it answers other processes.
     address: Option<SocketAddr>,
     /// Its zone.
     #[serde(default)]
     zone: Option<ZoneName>,
-    /// Cores that it may use.
+    /// Number of cores that it may use.
     #[serde(default)]
     weight: Option<f64>,
-    /// Differs between two writings.
+    /// Differs between two writes of the same content.
     nonce: u64,
 }
 
-/// Where the other processes answer, as far as is known.
+/// The known addresses of the other processes.
 pub fn peers(engine: &Engine) -> Vec<SocketAddr> {
     let own = engine.settings().peer_address;
     let others = engine.terms().subscribe_other_records();
@@ -59,22 +59,22 @@
         .collect()
 }
 
-/// This process's place among all in an order that is the same everywhere; zero is first.
-/// A process that is not registered yet counts itself last.
+/// Rank of this process in an order that is the same in all processes; zero is first. A process
+/// that isn't registered yet ranks last.
 pub fn rank(engine: &Engine) -> usize {
     let rank = engine.homes().duty_rank();
     let rank = rank.filter(|_| is_registered(engine));
     rank.unwrap_or(usize::MAX)
 }
 
-/// Connections that one of `processes` may use of a member that accepts `accepted`.
+/// Number of connections that one of `processes` may open to a member that accepts `accepted`.
 pub fn connection_share(accepted: usize, processes: usize) -> usize {
     let share = accepted.saturating_sub(RESERVED) / processes.max(1);
     share.clamp(LEAST_SHARE, MAX_SHARE)
 }
 
 impl NodeRecord {
-    /// What this process tells of itself now.
+    /// The current record of this process.
     fn of(engine: &Engine) -> Self {
         let settings = engine.settings();
         Self {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Whether both tell the same.
+    /// Whether both are equal apart from the nonce.
     fn has_same_content(&self, other: &Self) -> bool {
         let nonce = other.nonce;
         Self {
@@ -95,8 +95,8 @@
     }
 }
 
-/// Keeps this process's record. One that an earlier life has written and that still holds
-/// is left for a while: where a whole fleet starts anew, nobody has to write.
+/// Writes and renews this process's record. One that was written before a restart and is still
+/// accurate is kept for a while, so that a restart of the whole fleet causes no writes.
 pub async fn register(engine: &Engine) {
     engine.terms().wait_until_own_known().await;
     let key = format!("{KEY_PREFIX}{}", engine.settings().node);
@@ -128,8 +128,8 @@
     }
 }
 
-/// Returns after `pause`, or soon after the store has lost the record called `key`: a process
-/// without one gets no work of others.
+/// Returns after `pause`, or soon after the store has lost the record `key`: a process without a
+/// record gets no work from others.
 async fn wait_until_due(engine: &Engine, key: &str, pause: Duration) {
     let mut records = engine.terms().subscribe_other_records();
     let record_is_lost = records.wait_for(|records| !records.contains_key(key));
@@ -138,7 +138,7 @@
     }
 }
 
-/// How many processes the fleet has, by its index or the records that are known.
+/// Number of processes in the fleet, from the known records or the fleet index.
 pub fn count(engine: &Engine) -> usize {
     let others = engine.terms().subscribe_other_records();
     let records = others.borrow();
@@ -149,7 +149,7 @@
     }
 }
 
-/// Whether an earlier life of this process, or this one, has written its record.
+/// Whether a record of this process exists, written by it now or before a restart.
 pub fn is_registered(engine: &Engine) -> bool {
     let key = format!("{KEY_PREFIX}{}", engine.settings().node);
     own_record(engine, &key).is_some()
@@ -164,16 +164,16 @@
         .cloned()
 }
 
-/// A process as its record was last seen.
+/// A process whose record was seen.
 #[derive(Debug)]
 struct KnownProcess {
     version: u64,
     seen_at: Instant,
-    /// `None` where it answers nobody, or its record makes no sense.
+    /// `None` if it has no address for other processes, or its record is malformed.
     peer: Option<Peer>,
 }
 
-/// Divides the members' connections anew whenever the fleet changes.
+/// Updates the peers and the number of processes whenever the fleet changes.
 pub async fn update_fleet(engine: &Engine) {
     let mut records = engine.terms().subscribe_other_records();
     let mut known_processes = HashMap::new();
@@ -201,7 +201,7 @@
     }
 }
 
-/// The processes that can be homes, this one included, in an order that is always the same.
+/// The processes that can be homes, including this one, sorted by node name.
 fn with_own_process(engine: &Engine, peers: Vec<Peer>) -> Vec<Peer> {
     let own = engine.settings().peer_address.map(|address| Peer {
         node: engine.settings().node.clone(),
@@ -223,7 +223,7 @@
     peers.collect()
 }
 
-/// Takes note of the processes whose record has changed lately, and forgets the others.
+/// Records the processes whose record has changed recently, and drops the others.
 fn update_processes(
     records: &HashMap<String, Record>,
     known_processes: &mut HashMap<String, KnownProcess>,
--- a/crates/engine/src/leadership/fleet_index.rs
+++ b/crates/engine/src/leadership/fleet_index.rs
@@ -1,10 +1,10 @@
-//! The index of a large fleet: whom a process that starts is to ask for all else.
+//! The index of a large fleet: the processes that a starting process asks for everything else.
 //!
-//! Reading the records of all processes costs each that starts more than everything else that it
-//! asks the store; after a loss of all power hundreds would read them in one moment. So whoever
-//! holds the lease for promotions keeps one record with the few that follow the store and tell
-//! the others, and with where the holder itself answers. A process that starts reads only that, and
-//! learns of the rest from these.
+//! For a starting process, reading the records of all processes costs more than all its other
+//! store reads together, and after a power failure hundreds of processes would do so at once. So
+//! the holder of the promotion lease keeps one record with the few processes that follow the store
+//! and forward its changes, and with its own address. A starting process reads only this record and
+//! gets the rest from those processes.
 
 use super::promotion_lease::PromotionLease;
 use crate::encoding;
@@ -18,21 +18,21 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The key of the record.
+/// Key of the record.
 pub(super) const KEY: &str = "fleet";
-/// Interval in which the holder of the lease compares the record with the fleet. A process that
-/// starts meanwhile asks those that were listed before, and any of them will do.
+/// Interval at which the lease holder compares the record with the fleet. A process that starts
+/// meanwhile asks those listed before; any one of them suffices.
 const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a process that starts is told of the fleet.
+/// What a starting process learns about the fleet.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct FleetIndex {
-    /// Processes that the fleet has.
+    /// Number of processes in the fleet.
     pub processes: usize,
-    /// Where the holder of the lease for promotions answers.
+    /// Address of the holder of the promotion lease.
     #[serde(default)]
     pub holder: Option<SocketAddr>,
-    /// Those that others ask.
+    /// The processes that follow the store for the others.
     pub followers: Vec<Peer>,
 }
 
@@ -42,13 +42,13 @@
         followers.sort_by(|left, right| left.node.cmp(&right.node));
         Self {
             processes: engine.processes(),
-            // Its holder is who writes the index.
+            // Only the lease holder writes the index.
             holder: engine.settings().peer_address,
             followers,
         }
     }
 
-    /// The index among `records`, if there is one.
+    /// Decodes the index from `records`, if they contain one.
     pub fn from_records(records: &HashMap<String, Record>) -> Option<Self> {
         Self::decode(records.get(KEY)?)
     }
@@ -56,12 +56,12 @@
     fn decode(record: &Record) -> Option<Self> {
         let decoded = rmp_serde::from_slice(&record.value);
         decoded
-            .inspect_err(|error| log::error!("record {}: {error}", record.key))
+            .inspect_err(|error| log::error!("malformed record {}: {error}", record.key))
             .ok()
     }
 }
 
-/// Keeps the record while this process holds the lease for promotions.
+/// Keeps the record up to date while this process holds the promotion lease.
 pub async fn maintain(engine: &Engine, lease: &PromotionLease) {
     loop {
         sleep(COMPARE_INTERVAL).await;
@@ -79,7 +79,7 @@
             .terms()
             .put_other_record(KEY.to_owned(), known.as_ref(), value);
         if let Err(error) = put.await {
-            log::warn!("the index of the fleet was not written: {error}");
+            log::warn!("failed to write the fleet index: {error}");
         }
     }
 }
--- a/crates/engine/src/leadership/lease_records.rs
+++ b/crates/engine/src/leadership/lease_records.rs
@@ -1,4 +1,4 @@
-//! Leases of the fleet, kept as records of the store.
+//! Leases of the fleet, stored as records.
 
 use crate::encoding;
 use crate::ports::{PutOutcome, Record, RecordStore, RecordStoreError};
@@ -12,18 +12,18 @@
 /// Prefix of the keys of lease records.
 const KEY_PREFIX: &str = "lease/";
 
-/// Keeps lease records among the other records.
+/// A [`LeaseStore`] that keeps leases among the other records of the store.
 #[derive(Debug)]
 pub(crate) struct RecordLeaseStore {
     records: Arc<dyn RecordStore>,
-    /// The record as it was last read or written: a renewal needs no reading before it.
+    /// The record as last read or written, so that a renewal needs no read before its write.
     last_seen: Mutex<Option<(LeaseRecord, StoreVersion)>>,
-    /// The store's era, by its latest answer.
+    /// The latest era of the store seen in its answers.
     era: Mutex<Option<StoreEra>>,
 }
 
 impl RecordLeaseStore {
-    /// Leases in `records`; none has been read yet.
+    /// Creates a lease store on `records`; reads nothing yet.
     pub(crate) fn new(records: Arc<dyn RecordStore>) -> Self {
         Self {
             records,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// The version of `expected`, where it is what was last read or written; else it is
-    /// read. `None` where the store has another record.
+    /// The version of the record `expected`, from the store unless it is the one last read or
+    /// written. `None` if the store has another record.
     async fn version_of(
         &self,
         key: &str,
--- a/crates/engine/src/leadership/mod.rs
+++ b/crates/engine/src/leadership/mod.rs
@@ -1,9 +1,9 @@
-//! Who leads a group: following the records of it, suspecting a leader, and promoting
-//! another.
+//! Leadership of groups: following the term records, detecting failed leaders and promoting
+//! replacements.
 //!
-//! Every process follows the records ([`follower`]) and watches the leaders that it uses
-//! ([`suspicion`]). One of them holds the lease for promotions ([`promotion_lease`]); it acts on its
-//! own suspicions and on those that the others have recorded, and changes a leader by the
+//! Every process follows the term records ([`follower`]) and monitors the leaders that it uses
+//! ([`suspicion`]). One process holds the promotion lease ([`promotion_lease`]). It acts on its
+//! own suspicions and on those that other processes have recorded, and replaces a leader by the
 //! steps of [`promotion`].
 
 pub mod access;
@@ -38,12 +38,12 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Interval in which lapsed entries are looked at.
+/// Interval between checks for lapsed directory entries.
 const LAPSE_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause before the store is asked again who leads a group that was never promoted.
+/// Pause between store reads while the leader of a group that was never promoted is unknown.
 const FIRST_LEADER_PAUSE: Duration = Duration::from_millis(100);
 
-/// Follows, watches and changes leaderships until the process ends.
+/// Runs all leadership tasks of this process until it ends.
 pub async fn run(engine: Arc<Engine>, promoter: Arc<dyn Promoter>) {
     let lease = Arc::clone(engine.duty());
     tokio::join!(
@@ -66,7 +66,7 @@
     );
 }
 
-/// Looks for entries that were expected back and have not come.
+/// Periodically removes lapsed entries that were expected to return and have not.
 async fn end_lapses(engine: &Engine) {
     loop {
         sleep(LAPSE_INTERVAL).await;
@@ -74,7 +74,7 @@
     }
 }
 
-/// A leader may come back under another name.
+/// Applies directory changes to the groups: a leader may return under another member id.
 async fn follow_directory(engine: &Engine) {
     let mut directory = engine.subscribe_directory();
     while directory.changed().await.is_ok() {
@@ -82,7 +82,7 @@
     }
 }
 
-/// Reads the records anew while the directory knows a group whose leader is not known.
+/// Rereads the records while the directory lists a group whose leader is unknown.
 async fn learn_first_leaders(engine: &Engine) {
     let mut directory = engine.subscribe_directory();
     let mut configuration = engine.subscribe_configuration();
@@ -90,11 +90,11 @@
         while let Some(group) = group_without_leader(engine)
             && engine.following().is_direct()
         {
-            // A failure is told by the task that follows the records.
+            // The task that follows the records reports failures.
             let _ = engine.terms().refresh(engine, &group, Instant::now()).await;
             sleep(FIRST_LEADER_PAUSE).await;
         }
-        // The senders live as long as the engine does.
+        // The senders live as long as the engine, so `changed` can't fail.
         tokio::select! {
             _ = directory.changed() => {}
             _ = configuration.changed() => {}
--- a/crates/engine/src/leadership/promotion_lease.rs
+++ b/crates/engine/src/leadership/promotion_lease.rs
@@ -1,4 +1,4 @@
-//! The lease under which one process of the fleet gives promotion orders.
+//! The lease that allows one process of the fleet to order promotions.
 
 use super::fleet;
 use super::lease_records::RecordLeaseStore;
@@ -16,35 +16,35 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// What the lease is for.
+/// Name of the lease.
 const LEASE_NAME: &str = "promotion";
-/// How long the lease lasts, and how much earlier its holder stops relying on it: as long
-/// as an order may take.
+/// Duration of the lease, and how much earlier its holder stops relying on it. The margin covers
+/// the time that an order may take.
 const LEASE_SETTINGS: LeaseSettings = LeaseSettings {
     duration: Duration::from_millis(1_300),
     margin: Duration::from_millis(450),
 };
-/// Interval of renewals.
+/// Interval between renewals.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(330);
-/// Processes that always pursue the lease.
+/// Number of processes that are always candidates for the lease.
 const CANDIDATES: usize = 5;
-/// Interval in which a candidate looks at the lease of another.
+/// Longest interval at which a candidate checks a lease that another process holds.
 const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Interval in which any other process asks itself whether it is to pursue it.
+/// Interval at which any other process checks whether it has become a candidate.
 const NON_CANDIDATE_INTERVAL: Duration = Duration::from_millis(300);
-/// How long a suspicion makes a process pursue it.
+/// How long a suspicion makes a process a candidate.
 const CANDIDACY_DURATION: Duration = Duration::from_secs(6);
-/// Time without a further renewal after which a candidate reads the lease although it was told
-/// of it: the holder may have stopped between a renewal and telling of it, and the lease counts
-/// from that one.
+/// Time without a further announced renewal after which a candidate reads the lease from the store.
+/// The holder may have stopped after a renewal and before announcing it, and the lease runs from
+/// that renewal.
 const RENEWAL_OVERDUE: Duration = Duration::from_millis(500);
-/// Time by which each further candidate that was told of the lease lets the one before it go
-/// first: many times what a conditional write takes.
+/// Delay by which each candidate lets the one ranked before it try first. Many times the duration
+/// of a conditional write.
 const RANK_DELAY: Duration = Duration::from_millis(60);
-/// Pause after a failure, and the random part added to waits.
+/// Pause after a failure, and upper bound of the random jitter added to waits.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The runtime's monotonic clock, which tests can pause.
+/// The runtime's monotonic clock. Tests can pause it.
 #[derive(Debug, Clone)]
 struct RuntimeClock {
     origin: Instant,
@@ -56,14 +56,14 @@
     }
 }
 
-/// The lease as far as this process holds it.
+/// The promotion lease as this process sees it.
 #[derive(Debug)]
 pub struct PromotionLease {
     clock: RuntimeClock,
     lease: Mutex<Option<Lease>>,
-    /// Until when this process wants the lease although others come first.
+    /// End of this process's temporary candidacy.
     candidate_until: Mutex<Option<Instant>>,
-    /// The number of the present holding, which may have lapsed.
+    /// The fencing number of the lease that this process holds; the lease may have expired.
     fencing: watch::Sender<Option<FencingNumber>>,
 }
 
@@ -81,28 +81,28 @@
 }
 
 impl PromotionLease {
-    /// The number that an order must carry, if the lease is held now. To be called again
-    /// directly before each order.
+    /// The fencing number that an order must carry, if the lease is held now. Must be called
+    /// again directly before each order.
     pub fn check(&self) -> Option<FencingNumber> {
         let lease = self.lease.lock().unwrap_or_else(PoisonError::into_inner);
         lease.as_ref()?.check(self.clock.now()).ok()
     }
 
-    /// Tells when this process takes the lease, and when it has lost it. Whether it can be relied
-    /// on is to be [checked](PromotionLease::check).
+    /// Notifies when this process acquires or loses the lease. A value doesn't mean that the
+    /// lease is still valid: see [`PromotionLease::check`].
     pub fn subscribe_fencing(&self) -> watch::Receiver<Option<FencingNumber>> {
         self.fencing.subscribe()
     }
 
-    /// Notes that a leader is suspected: should nobody hold the lease, this process takes it
-    /// after those that come first had their time.
+    /// Makes this process a temporary candidate because it suspects a leader. If nobody holds
+    /// the lease, it acquires it after the candidates ranked before it had their chance.
     pub fn become_candidate(&self) {
         let until = Instant::now() + CANDIDACY_DURATION;
         *lock(&self.candidate_until) = Some(until);
     }
 
-    /// Whether this process is to pursue the lease: a few of the fleet always do, any other
-    /// only while it suspects a leader. So the cost at the store does not grow with the fleet.
+    /// Whether this process competes for the lease. A few processes always do, any other only
+    /// while it suspects a leader, so that the load on the store does not grow with the fleet.
     fn is_candidate(&self, engine: &Engine) -> bool {
         let is_temporary = lock(&self.candidate_until).is_some_and(|until| Instant::now() < until);
         is_temporary || self.held().is_some() || fleet::rank(engine) < CANDIDATES
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Pursues the lease until the process leaves.
+    /// Acquires and renews the lease until the process shuts down.
     pub async fn run(&self, engine: &Engine) {
         let records = Arc::clone(engine.lease_records());
         let mut candidate = LeaseCandidate::new(
@@ -167,8 +167,8 @@
         self.release_on_shutdown(engine, &candidate).await;
     }
 
-    /// Gives the lease back, and tells the other candidates so: one of them has it within 0.15 s
-    /// in place of 0.3 to 0.4 s, in a fleet of 21 processes in memory.
+    /// Releases the lease and announces that to the other candidates. In an in-memory fleet of
+    /// 21 processes, one of them then acquires it within 0.15 s instead of 0.3 to 0.4 s.
     async fn release_on_shutdown(&self, engine: &Engine, candidate: &LeaseCandidate) {
         let held = self.held();
         self.set(engine, None, "leaving");
@@ -177,7 +177,7 @@
             released: true,
             ..lease.record().clone()
         };
-        // What is not given back ends by itself.
+        // A lease that could not be released expires.
         if candidate.release(lease).await.is_ok() {
             notify_candidates(engine, &released).await;
         }
@@ -188,7 +188,7 @@
         lease.clone()
     }
 
-    /// Renews or tries to acquire; returns how long to wait before the next time.
+    /// Renews the lease or tries to acquire it. Returns the time to wait before the next attempt.
     async fn acquire_or_renew(&self, engine: &Engine, candidate: &mut LeaseCandidate) -> Duration {
         match self.held() {
             Some(lease) => match candidate.renew(&lease).await {
@@ -218,17 +218,17 @@
     }
 }
 
-/// Tells the other candidates of the lease that this process has just written: once the holder
-/// is killed one of them has it within 1.5 s in place of 1.6 to 1.9 s, in a fleet of 21 processes
-/// in memory, and none reads it from the store meanwhile.
+/// Announces the lease that this process has just written to the other candidates, so that they
+/// don't have to read it from the store. In an in-memory fleet of 21 processes, one of them
+/// acquires the lease within 1.5 s after its holder is killed, instead of 1.6 to 1.9 s.
 async fn notify_candidates(engine: &Engine, record: &LeaseRecord) {
     let addresses = engine.homes().duty_addresses(CANDIDATES);
     let tell = |link: &Link| link.tell_promotion_lease(record);
     engine.homes().links().tell_each(addresses, tell).await;
 }
 
-/// How long the candidate of `rank` waits for those that come before it; the first is the
-/// holder itself, as a rule.
+/// How long the candidate of `rank` waits for those ranked before it. The first one is usually
+/// the holder itself.
 fn rank_delay(rank: usize) -> Duration {
     let before = rank.saturating_sub(1).min(CANDIDATES);
     RANK_DELAY * u32::try_from(before).unwrap_or(u32::MAX)
--- a/crates/engine/src/leadership/roster.rs
+++ b/crates/engine/src/leadership/roster.rs
@@ -1,11 +1,11 @@
-//! The members of each group, as they are kept in the store.
+//! The members of each group, as recorded in the store.
 //!
-//! A change of leader must hear of every member that can hold an acknowledged commit. The
-//! servers' entries don't tell that: the entry of one that is away goes. Processes remember
-//! it for a while, but all of them may end at once, and then the next holder of the lease
-//! would take the members that are there for all of them. So the holder keeps a record of
-//! each group's members, gone ones included for as long as they are remembered, and a
-//! promotion reads it before it asks the members.
+//! A change of leader must consider every member that can hold an acknowledged commit. The
+//! directory entries are not enough for that: the entry of a server that is away expires.
+//! Processes remember such a server for a while, but if all of them restart at once, the next
+//! lease holder would take the members present for all members. So the holder keeps a record of
+//! each group's members, gone ones included for as long as they are remembered, and a promotion
+//! reads it before it surveys the members.
 
 use super::promotion_lease::PromotionLease;
 use crate::directory::{Departure, Member, MemberState, Role};
@@ -21,26 +21,26 @@
 
 /// Prefix of the keys of these records.
 const KEY_PREFIX: &str = "roster/";
-/// Interval in which the holder of the lease compares the records with the entries.
+/// Interval at which the lease holder compares the records with the directory entries.
 const COMPARE_INTERVAL: Duration = Duration::from_millis(150);
-/// Time without a further member after which a group that has no record is complete: servers of
-/// one group start together.
+/// Time without a new member after which a group that has no record counts as complete: the
+/// servers of one group start together.
 const JOIN_SETTLE_TIME: Duration = Duration::from_secs(1);
 /// Pause after a failed write.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
 
-/// A member, as far as a change of leader has to know it.
+/// What a change of leader has to know of a member.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RosterMember {
-    /// Its identity.
+    /// Its id.
     pub id: MemberId,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
 }
 
-/// The members of a group, by their ids.
+/// The members of a group, sorted by id.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
     /// The members.
@@ -53,7 +53,7 @@
         format!("{KEY_PREFIX}{group}")
     }
 
-    /// The members of `group` as this process knows them.
+    /// The members of `group` in this process's directory.
     fn of(engine: &Engine, group: &str) -> Self {
         let members = engine.directory().members_of(group);
         let members = members.iter().map(|member| RosterMember {
@@ -71,10 +71,10 @@
     }
 }
 
-/// Groups without a record, and since when their members are what they are.
+/// Groups without a record, with their members and the time since which those are unchanged.
 type NewGroups = HashMap<GroupName, (Roster, Instant)>;
 
-/// Keeps the records while this process holds the lease.
+/// Keeps the records up to date while this process holds the lease.
 pub async fn maintain(engine: &Engine, lease: &PromotionLease) {
     let mut new_groups = NewGroups::new();
     let mut compared = None;
@@ -104,7 +104,7 @@
             if let Err(error) = write_records(engine, puts).await {
                 is_complete = false;
                 log::warn!(
-                    "the members of {} groups were not recorded: {error}",
+                    "failed to record the members of {} groups: {error}",
                     puts.len()
                 );
                 sleep(RETRY_PAUSE).await;
@@ -114,12 +114,12 @@
     }
 }
 
-/// How the record of a group compares with the entries.
+/// Result of comparing the record of a group with the directory entries.
 enum Comparison {
     Same,
-    /// There is none yet, and members still join.
+    /// There is no record yet, and members are still joining.
     Joining,
-    /// It is to be written.
+    /// The record has to be written.
     Due(RecordPut),
 }
 
@@ -142,9 +142,9 @@
     })
 }
 
-/// Writes the records of several groups in one call: the servers of a whole fleet register at its
-/// start. Where another process has written one of them meanwhile, each is written by itself, and
-/// that one is left to the next comparison.
+/// Writes the records of several groups in one call, because the servers of the whole fleet
+/// register when it starts. If another process has written one of them meanwhile, each record is
+/// written by itself, and the conflicting one is left to the next comparison.
 async fn write_records(engine: &Engine, puts: &[RecordPut]) -> Result<(), RecordStoreError> {
     let terms = engine.terms();
     if terms.put_other_records(puts.to_vec()).await? == PutOutcome::Conflict && puts.len() > 1 {
@@ -155,8 +155,8 @@
     Ok(())
 }
 
-/// Whether the members of a group without a record still join it: its servers have just started,
-/// and each of them would cost a further record.
+/// Whether members are still joining a group without a record. Its servers have just started, and
+/// each of them would cost another write.
 fn is_joining(group: &GroupName, current: &Roster, new_groups: &mut NewGroups) -> bool {
     let now = Instant::now();
     let first = (Roster::default(), now);
@@ -167,8 +167,8 @@
     now.duration_since(*since) < JOIN_SETTLE_TIME
 }
 
-/// Takes a record that was read or has changed, if it is a roster: its members are known
-/// from then on, for as long as gone members are remembered.
+/// Applies a record that was read or has changed, if it is a roster. Its members are known from
+/// then on, for as long as gone members are remembered.
 pub fn apply_record(engine: &Engine, record: &Record) {
     let Some(group) = record.key.strip_prefix(KEY_PREFIX) else {
         return;
@@ -178,11 +178,11 @@
     }
 }
 
-/// Reads the record of `group` now, and remembers its members.
+/// Reads the record of `group` now and adds its members to the directory.
 ///
 /// # Errors
 ///
-/// [`RecordStoreError`] where the store gave no answer.
+/// [`RecordStoreError`] if the store did not answer.
 pub async fn load(engine: &Engine, group: &GroupName) -> Result<(), RecordStoreError> {
     let key = Roster::key(group);
     let read = engine.terms().store().read(&key).await?;
@@ -193,7 +193,7 @@
     Ok(())
 }
 
-/// Takes members whose entries are not there for gone, from now on.
+/// Adds recorded members that have no entry to the directory, as gone from now on.
 fn add_missing_as_gone(engine: &Engine, group: &GroupName, roster: Roster) {
     let departure = Departure {
         learned: Instant::now(),
