--- a/crates/engine/src/leadership/choice.rs
+++ b/crates/engine/src/leadership/choice.rs
@@ -1,10 +1,9 @@
-//! Which member is to lead next, and whether the fence before it is complete.
+//! Choice of the next leader, and the check that the fence before it is complete.
 //!
-//! With synchronous replication, an acknowledged commit lies in the leader's log and in at
-//! least one replica's. So once no replica receives from the old leader any more, the
-//! replica that has received most holds every acknowledged commit, provided that all of
-//! them were read; and a replica that has received as much as the old leader does so in
-//! any case.
+//! With synchronous replication, an acknowledged commit is in the log of the leader and of at
+//! least one replica. So once no replica receives from the old leader any more, the replica that
+//! has received the most holds every acknowledged commit, provided that all replicas have
+//! reported. A replica that has received as much as the old leader holds them in any case.
 
 use super::survey::{Response, SurveyedMember};
 use crate::directory::{Member, Role};
@@ -19,55 +18,55 @@
 /// Why no member can be promoted yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Obstacle {
-    /// The old leader may still have commits acknowledged through this replica.
+    /// This replica isn't fenced: the old leader may still have commits acknowledged through it.
     NotFenced(MemberId),
-    /// This member may hold acknowledged commits that no other has.
+    /// This member may hold acknowledged commits that no other member holds.
     MayHoldMore(MemberId),
-    /// So few other members are known that there may be one that nobody knows, with acknowledged
-    /// commits that no other has.
+    /// So few other members are known that an unknown one may hold acknowledged commits that no
+    /// other member holds.
     TooFewKnown,
-    /// No member that could lead has answered.
+    /// No eligible replica has answered.
     NoCandidate,
 }
 
-/// The leader that is to be replaced.
+/// The leader to be replaced.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PreviousLeader {
     /// The member, if there was one.
     pub id: Option<MemberId>,
-    /// Where it listens: a server that comes back there under another name has its log.
+    /// Its address: a server that returns there under another id has its log.
     pub address: Option<SocketAddr>,
 }
 
 impl PreviousLeader {
-    /// Whether `member` is the old leader, or has come back in its place.
+    /// Whether `member` is the old leader, or has returned at its address.
     pub fn matches(&self, member: &Member) -> bool {
         self.id.as_ref() == Some(&member.id) || self.address == Some(member.address)
     }
 
-    /// Whether `member` is a later life of the old leader's server.
+    /// Whether `member` is a later incarnation of the old leader's server.
     fn is_later_incarnation(&self, member: &Member) -> bool {
         let id = self.id.as_ref();
         id.is_some_and(|id| are_lives_of_one(id, &member.id))
     }
 }
 
-/// What the members told after they were paused and the old leader demoted.
+/// The members' responses after the replicas were paused and the old leader demoted.
 #[derive(Debug)]
 pub struct FenceSurvey<'a> {
     /// All members.
     pub members: &'a [SurveyedMember],
     /// The old leader.
     pub previous: &'a PreviousLeader,
-    /// The term in whose name the others were paused.
+    /// The term for which the other members were paused.
     pub term: Term,
-    /// Replicas that must receive a commit before its acknowledgement.
+    /// Number of replicas that must receive a commit before it is acknowledged.
     pub sync_replicas: usize,
-    /// The highest position that the old leader's log is known to have had.
+    /// The highest known position of the old leader's log.
     pub known: Option<LogPosition>,
-    /// Zones whose members are to lead only where no other holds everything.
+    /// Zones whose members become leader only if no other member holds every commit.
     pub evacuations: &'a Evacuations,
-    /// The regions of zones.
+    /// Maps zones to regions.
     pub topology: &'a Topology,
 }
 
@@ -76,14 +75,14 @@
     ///
     /// # Errors
     ///
-    /// The [`Obstacle`] that keeps acknowledged commits from being safe.
+    /// The [`Obstacle`] because of which acknowledged commits could be lost.
     pub fn choose(&self, now: Instant) -> Result<MemberId, Obstacle> {
         let old_log = self.demoted_log();
         if old_log.is_none() && self.sync_replicas > 0 {
             self.check_fence(now)?;
         }
         match self.choose_replica(old_log, now) {
-            // The old leader itself holds everything, and leads nobody any more.
+            // The demoted leader itself holds every acknowledged commit.
             Err(obstacle) if old_log.is_some() => self.previous_if_staying().ok_or(obstacle),
             chosen => chosen,
         }
@@ -108,9 +107,9 @@
         Some(staying.member.id.clone())
     }
 
-    /// The old leader's log, if it has given up the lead: nothing more is acknowledged. A log
-    /// shorter than what others have, or empty, is not the one that it led with: its server has
-    /// started again and holds nothing of before.
+    /// The old leader's log position, if it was demoted and acknowledges nothing more. A log that
+    /// is empty or shorter than another member's is not the one that it had as leader: its server
+    /// has restarted without it.
     fn demoted_log(&self) -> Option<LogPosition> {
         let old = self.members.iter().filter(|m| self.is_previous(m));
         let old = old.filter(|member| !self.previous.is_later_incarnation(&member.member));
@@ -124,7 +123,7 @@
         (report.role == Role::Replica && is_complete).then_some(report.received)
     }
 
-    /// Every other member is paused, does not run, or has left.
+    /// Checks that every other member is paused, isn't running, or has left.
     fn check_fence(&self, now: Instant) -> Result<(), Obstacle> {
         let unfenced = self
             .other_members(now)
@@ -139,7 +138,8 @@
         }
     }
 
-    /// No acknowledged commit can lie above `received`, the log of the best candidate.
+    /// Checks that no acknowledged commit can lie beyond `received`, the log position of the best
+    /// candidate.
     fn check_complete(
         &self,
         received: LogPosition,
@@ -152,8 +152,8 @@
         let unanswered = self
             .other_members(now)
             .find(|member| member.response.report().is_none());
-        // What has left took its log along. The others hold that too once they have
-        // received as much as the leader is known to have had.
+        // The log of a member that has left is gone. The remaining members hold its commits too
+        // if they have received as much as the leader is known to have had.
         let departed = self.members.iter().find(|member| member.has_left(now));
         let departed = departed.filter(|_| self.known.is_some_and(|known| received < known));
         match unanswered.or(departed) {
@@ -162,9 +162,10 @@
         }
     }
 
-    /// The leader may have had commits acknowledged through a replica that is not known here: at a
-    /// start the store may take a server's first entry many seconds late. With as few replicas as a
-    /// commit needs, the next leader could have none acknowledged anyway.
+    /// Checks that enough other members are known. The leader may have had commits acknowledged
+    /// through a replica that is unknown here: at a start, the store may accept a server's first
+    /// entry many seconds late. With no more members than a commit needs replicas, the next leader
+    /// could not have commits acknowledged anyway.
     fn check_known_members(
         &self,
         received: LogPosition,
@@ -181,8 +182,8 @@
         }
     }
 
-    /// The replica that has received most; among equals one outside evacuated zones and one that
-    /// stays, and then one of the old leader's region, where those that write have been near it.
+    /// The replica that has received the most. Among equals, it prefers one outside evacuated zones
+    /// that isn't leaving, and then one in the old leader's region, which is near the writers.
     fn best_replica(&self) -> Option<(MemberId, LogPosition)> {
         let candidates = self.members.iter().filter_map(|member| {
             let report = member.response.report()?;
@@ -203,13 +204,13 @@
         Some((id, rank.0))
     }
 
-    /// Members other than the old leader that have not left.
+    /// Members other than the old leader, without those that have left.
     fn other_members(&self, now: Instant) -> impl Iterator<Item = &SurveyedMember> {
         let members = self.members.iter();
         members.filter(move |member| !self.is_previous(member) && !member.has_left(now))
     }
 
-    /// Whether `member` stands in the old leader's region, as far as that is known.
+    /// Whether `member` is known to be in the old leader's region.
     fn is_near_previous(&self, member: &SurveyedMember) -> bool {
         let region = |member: &SurveyedMember| self.topology.region_of(&member.member.zone);
         let mut old = self.members.iter().filter(|other| self.is_previous(other));
@@ -221,8 +222,8 @@
     }
 }
 
-/// A term above every one that any member has told of: orders in its name are heeded.
-/// A fence that was begun before is completed in the same name.
+/// A term higher than that of every report, so that members obey commands sent with it. A fence
+/// that was begun before keeps its term.
 pub fn fencing_term(members: &[SurveyedMember]) -> Term {
     let reports = members.iter().filter_map(|member| member.response.report());
     let terms = reports.map(|report| (report.term + 1).max(report.paused_for));
--- a/crates/engine/src/leadership/leader_evacuation.rs
+++ b/crates/engine/src/leadership/leader_evacuation.rs
@@ -1,7 +1,8 @@
 //! Moving leaders out of evacuated zones.
 //!
-//! A leader there is replaced as one that leaves: fenced while it lives. Each change is a gap
-//! in its group's writes, so only as many run side by side as have to.
+//! A leader in an evacuated zone is replaced like one that shuts down: it is fenced while it is
+//! still running. Each change interrupts the writes of its group, so only as many run concurrently
+//! as necessary.
 
 use super::survey::{self, StragglerPolicy, SurveyedMember};
 use crate::directory::Member;
@@ -13,26 +14,25 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time that one change of a leader is taken to need: its fence, the order, and the wait for the
-/// old term's evidence. Measured: 1.19 to 1.25 s from the first look to the new leader's first
-/// write, 17 changes, where an order needs 1 s to act.
+/// Expected duration of one change of leader: the fence, the order, and the wait until the old
+/// term's evidence expires. From the first check to the new leader's first write, 17 changes took
+/// 1.19 to 1.25 s with an order that takes 1 s to act.
 const MOVE_TIME: Duration = Duration::from_millis(1_300);
 
-/// Whether a member outside evacuated zones can take the lead from `leader`, as far as the
-/// entries tell.
+/// Whether a member outside evacuated zones can replace `leader`, according to the directory.
 pub fn has_successor(engine: &Engine, leader: &Member) -> bool {
     let members = engine.directory().members_of(&leader.group);
     let mut others = members.iter().filter(|member| member.id != leader.id);
     others.any(|member| can_lead(engine, member))
 }
 
-/// Whether the leader of `group` is to be replaced since its zone is evacuated.
+/// Whether the leader of `group` is to be replaced because its zone is evacuated.
 pub fn should_move_leader(engine: &Engine, group: &GroupName) -> bool {
     let leader = leader_in_evacuated_zone(engine, group);
     leader.is_some_and(|leader| has_successor(engine, &leader))
 }
 
-/// The leader of `group`, if it stands in an evacuated zone.
+/// The leader of `group`, if it is in an evacuated zone.
 pub fn leader_in_evacuated_zone(engine: &Engine, group: &GroupName) -> Option<Arc<Member>> {
     if engine.evacuations().zones.is_empty() {
         return None;
@@ -44,7 +44,7 @@
     is_evacuated.then(|| Arc::clone(member))
 }
 
-/// How many leaders of `groups` are to be replaced at a time now.
+/// How many leaders of `groups` may currently be replaced concurrently.
 pub fn max_concurrent_moves(engine: &Engine, groups: &[GroupName]) -> usize {
     let to_move = groups.iter().filter_map(|group| {
         let leader = leader_in_evacuated_zone(engine, group)?;
@@ -60,16 +60,16 @@
     required_concurrency(closings.len(), time_left)
 }
 
-/// How many of `changes` have to run side by side so that the last of them begins within
-/// `time_left`; all of them where there is no time. One that has begun costs no more for ending
-/// later: its old leader gets nothing more.
+/// How many of `changes` have to run concurrently so that the last of them begins within
+/// `time_left`; all of them if there is no time left. A change that has begun may end later than
+/// that, since its old leader is sent nothing more.
 pub fn required_concurrency(changes: usize, time_left: Duration) -> usize {
     let rounds = time_left.as_millis().div_ceil(MOVE_TIME.as_millis()) as usize;
     changes.div_ceil(rounds.max(1))
 }
 
-/// Whether a member of `group` outside evacuated zones answers that it is no further behind
-/// than the others: a fence would choose it.
+/// Whether a member of `group` outside evacuated zones reports that it has received as much as any
+/// other replica, so that a fence would choose it.
 pub async fn has_caught_up_successor(engine: &Engine, group: &GroupName) -> bool {
     let stragglers = StragglerPolicy::SKIP_ONE_STRAGGLER;
     let members = survey::survey(engine, group, |_| Control::Status, stragglers).await;
--- a/crates/engine/src/leadership/promotion.rs
+++ b/crates/engine/src/leadership/promotion.rs
@@ -1,18 +1,18 @@
 //! One change of a group's leader, from the fence to the new leader's first write.
 //!
-//! Each phase is recorded in the store before the next begins, so that another holder of
-//! the lease can finish what one has begun:
+//! Each phase is recorded in the store before the next begins, so that another lease holder can
+//! complete a promotion that one has begun:
 //!
-//! 1. *Fencing* is recorded: every process gives the old leader no more writes.
-//! 2. All replicas are paused, and the old leader is demoted if it can be reached. With a
-//!    synchronous replica required, the old leader can't have a commit acknowledged then.
+//! 1. *Fencing* is recorded: processes send the old leader no more writes.
+//! 2. All replicas are paused, and the old leader is demoted if it can be reached. If commits
+//!    require a synchronous replica, the old leader can't have one acknowledged from then on.
 //! 3. The replica that holds every acknowledged commit is chosen: see [`super::choice`].
-//! 4. *Promoting* is recorded, with the target, and the order is given.
-//! 5. Once the target leads and the evidence for the old term has lapsed everywhere,
+//! 4. *Promoting* is recorded with the target, and the promotion is ordered.
+//! 5. Once the target is primary and the evidence for the old term has expired everywhere,
 //!    *active* is recorded: the target gets writes.
 //!
-//! A promotion that was begun is never taken back, but completed: a replica that was
-//! paused in vain would have to be resumed, and a late order to resume breaks a fence.
+//! A promotion that was begun is completed, never rolled back. A rollback would have to resume
+//! the paused replicas, and a resume command that arrives late breaks a later fence.
 
 use super::choice::{FenceSurvey, PreviousLeader, fencing_term};
 use super::follower::VersionedTerm;
@@ -33,59 +33,59 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Time for which a leader that is to hand over finishes what it was sent.
+/// Time in which the old leader completes the requests that it was sent before it is fenced.
 const DRAIN_TIME: Duration = Duration::from_millis(60);
-/// Pause before the members are asked again while the fence is not complete.
+/// Pause between surveys while the fence is incomplete.
 const FENCE_PAUSE: Duration = Duration::from_millis(80);
-/// Pause between two questions whether the target leads already.
+/// Interval at which the target is asked whether it is primary.
 const TARGET_POLL_INTERVAL: Duration = Duration::from_millis(30);
-/// Time after which an order whose effect is not seen is given again.
+/// Time after which an order that has shown no effect is sent again.
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(900);
-/// Time after which a target that does not take the lead is given up.
+/// Time after which a target that has not become primary is given up.
 const TARGET_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Changes of leader of a group that one era of the store can count.
+/// Number of epochs reserved for each era of the store.
 const EPOCHS_PER_ERA: Epoch = 1 << 32;
-/// Pause after the store gave no answer.
+/// Pause after a failed store call.
 const STORE_PAUSE: Duration = Duration::from_millis(80);
 
 quick_error! {
-    /// A promotion was not completed by this process.
+    /// Why this process did not complete a promotion.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum PromotionError {
-        /// The lease is not held any more.
+        /// This process no longer holds the promotion lease.
         LeaseLost {
-            display("the lease is not held any more")
+            display("this process no longer holds the promotion lease")
         }
-        /// Another process has changed the record.
+        /// Another process has changed the term record.
         Superseded {
-            display("another process has changed the record")
+            display("another process has changed the term record")
         }
-        /// The target does not take the lead: another has to be chosen.
+        /// The target has not become primary: another one has to be chosen.
         TargetLost {
-            display("the target does not take the lead")
+            display("the target has not become primary")
         }
     }
 }
 
-/// What a promotion needs.
+/// A change of the leader of one group.
 #[derive(Debug, Clone)]
 pub struct Promotion {
-    /// The shared state.
+    /// State shared by the whole process.
     pub engine: Arc<Engine>,
-    /// Carries the order out.
+    /// Carries out promotion orders.
     pub promoter: Arc<dyn Promoter>,
-    /// The lease under which orders are given.
+    /// The lease that allows this process to order promotions.
     pub lease: Arc<PromotionLease>,
     /// The group.
     pub group: GroupName,
 }
 
 impl Promotion {
-    /// Changes the leader, or completes a change that was begun.
+    /// Replaces the leader, or completes a promotion that was begun.
     ///
     /// # Errors
     ///
-    /// [`PromotionError`] where another process has to go on, or this one anew.
+    /// [`PromotionError`] if another process has to continue, or this one has to start over.
     pub async fn run(&self) -> Result<(), PromotionError> {
         let known = self.engine.terms().known(&self.group);
         let term = match known {
@@ -104,7 +104,7 @@
         Ok(())
     }
 
-    /// Gives up the target of a promotion that was begun, and chooses again.
+    /// Gives up the target of a promotion that was begun, and fences and chooses again.
     ///
     /// # Errors
     ///
@@ -135,7 +135,7 @@
         self.fence(term).await
     }
 
-    /// Completes the fence and records the target.
+    /// Fences the members until a target can be chosen, and records it.
     async fn fence(&self, term: VersionedTerm) -> Result<VersionedTerm, PromotionError> {
         let previous = PreviousLeader {
             id: term.record.previous.clone(),
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Learns of members whose entries have gone: this process may be younger than that.
+    /// Loads the recorded members: entries may have gone before this process started.
     async fn load_roster(&self) -> Result<(), PromotionError> {
         while roster::load(&self.engine, &self.group).await.is_err() {
             self.check_lease()?;
@@ -196,7 +196,7 @@
         Ok(())
     }
 
-    /// Orders the promotion until the target leads.
+    /// Orders the promotion, repeatedly if needed, until the target is primary.
     async fn promote(&self, record: &TermRecord) -> Result<(), PromotionError> {
         let Some(target) = record.target.clone() else {
             return Err(PromotionError::TargetLost);
@@ -223,7 +223,7 @@
         Err(PromotionError::TargetLost)
     }
 
-    /// Gives the order once, with the lease checked directly before.
+    /// Sends the order once, directly after checking the lease.
     async fn send_promote_order(
         &self,
         record: &TermRecord,
@@ -251,11 +251,11 @@
         report.is_some_and(|report| report.role == Role::Primary)
     }
 
-    /// Whether the target has started since it was paused, and may have nothing of what it was
-    /// chosen for. An order names a server, not its life: an empty one would take the lead, and
-    /// have the others drop what they hold.
+    /// Whether the target has restarted since it was paused and may have lost the log that it was
+    /// chosen for. An order names a server, not an incarnation of it: an empty server would become
+    /// primary and make the other members discard their logs.
     async fn has_restarted(&self, record: &TermRecord, target: &MemberId) -> bool {
-        // The old leader was demoted in place of being paused.
+        // The old leader was demoted instead of being paused.
         let was_paused = record.previous.as_ref() != Some(target)
             && record.previous_address != record.target_address;
         match self.request_status(target).await {
@@ -273,7 +273,7 @@
         Some(survey::send_control(&self.engine, member, Control::Status).await)
     }
 
-    /// Records the next step over the one of version `expected`.
+    /// Writes `record` over the term record of version `expected`.
     async fn advance(
         &self,
         record: TermRecord,
@@ -294,7 +294,7 @@
             .map(|known| known.address)
     }
 
-    /// Writes the record, whatever the store makes of single calls, while the lease lasts.
+    /// Writes the record, retrying failed store calls for as long as the lease is held.
     async fn store(
         &self,
         record: TermRecord,
@@ -334,8 +334,8 @@
         }
     }
 
-    /// The version of `record`, if that is what the store has: an earlier write whose
-    /// answer was lost may have been done.
+    /// The version of `record`, if the store holds it: an earlier write may have succeeded
+    /// although its answer was lost.
     async fn find_own_write(&self, record: &TermRecord) -> Result<StoreVersion, PromotionError> {
         let key = TermRecord::key(&self.group);
         let changes = self.engine.terms().store().read(&key).await;
@@ -352,15 +352,15 @@
     }
 }
 
-/// How far `target` has received the log, as it told when the members were fenced.
+/// The log position that `target` reported as received when the members were fenced.
 fn received_position(target: &MemberId, fenced: &[SurveyedMember]) -> Option<LogPosition> {
     let chosen = fenced.iter().find(|known| known.member.id == *target)?;
     Some(chosen.response.report()?.received)
 }
 
-/// The number of the leadership after `known`, where the records are known as of `version`.
-/// That of an era of the store is greater than all of earlier eras: one that the store has lost
-/// is not given to another leader.
+/// The epoch after `known`, where the records are known as of `version`. Epochs of one era of the
+/// store are greater than those of all earlier eras, so an epoch whose record the store has lost
+/// is never given to another leader.
 fn next_epoch(known: Option<&VersionedTerm>, version: StoreVersion) -> Epoch {
     let previous_epoch = known.map_or(0, |term| term.record.epoch);
     (previous_epoch + 1).max(era_of(version).saturating_mul(EPOCHS_PER_ERA))
--- a/crates/engine/src/leadership/record.rs
+++ b/crates/engine/src/leadership/record.rs
@@ -1,4 +1,4 @@
-//! The record of a group's leadership, as it is kept in the store.
+//! The record of a group's leadership term in the store.
 
 use crate::encoding;
 use crate::group::Epoch;
@@ -9,47 +9,47 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// How far a change of leader has come.
+/// Phase of a change of leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TermPhase {
-    /// The old leader is being fenced off. It gets no more writes.
+    /// The old leader is being fenced. It gets no more writes.
     Fencing,
     /// The fence is complete, and the target is being promoted.
     Promoting,
-    /// The target leads, and may be used.
+    /// The target is primary and may be used.
     Active,
 }
 
-/// A group's leadership.
+/// A leadership term of a group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermRecord {
     /// The group.
     pub group: GroupName,
-    /// Its number; rises by one with each change of leader.
+    /// Number of the term; rises with each change of leader.
     pub epoch: Epoch,
-    /// How far the change has come.
+    /// Phase of the change of leader.
     pub phase: TermPhase,
-    /// The leader, once chosen.
+    /// The new leader, once chosen.
     pub target: Option<MemberId>,
-    /// Where it listens: a server that comes back there has its log, and another name.
+    /// Its address: a server that returns there has its log but another id.
     pub target_address: Option<SocketAddr>,
-    /// What it had received when it was chosen.
+    /// The log position that it had received when it was chosen.
     #[serde(default)]
     pub target_received: Option<LogPosition>,
-    /// The leader before.
+    /// The previous leader.
     pub previous: Option<MemberId>,
-    /// Where it listens.
+    /// Its address.
     pub previous_address: Option<SocketAddr>,
-    /// Who wrote the record last.
+    /// The process that wrote the record last.
     pub holder: NodeName,
 }
 
 quick_error! {
-    /// A record can't be read.
+    /// Why a record can't be decoded.
     #[derive(Debug)]
     pub enum RecordError {
-        /// It is not what this version writes.
+        /// It doesn't have the format that this version writes.
         Malformed(error: rmp_serde::decode::Error) {
             display("malformed record: {error}")
             from()
@@ -66,21 +66,21 @@
         format!("{}{group}", Self::KEY_PREFIX)
     }
 
-    /// Whether this tells of a later step than `other` of the same group does.
+    /// Whether this record is of a later epoch or phase than `other` of the same group.
     pub fn is_ahead_of(&self, other: &Self) -> bool {
         (self.epoch, self.phase) > (other.epoch, other.phase)
     }
 
-    /// The record as it is stored.
+    /// Encodes the record for the store.
     pub fn encode(&self) -> Bytes {
         encoding::with_names(self)
     }
 
-    /// Reads a stored record.
+    /// Decodes a stored record.
     ///
     /// # Errors
     ///
-    /// [`RecordError::Malformed`] where it is something else.
+    /// [`RecordError::Malformed`] if it is anything else.
     pub fn decode(value: &[u8]) -> Result<Self, RecordError> {
         Ok(rmp_serde::from_slice(value)?)
     }
--- a/crates/engine/src/leadership/settling.rs
+++ b/crates/engine/src/leadership/settling.rs
@@ -1,4 +1,4 @@
-//! After a promotion: the other members are brought to follow the new leader.
+//! After a promotion, makes the other members follow the new leader.
 
 use super::promotion::Promotion;
 use super::survey::{self, Response, StragglerPolicy};
@@ -9,17 +9,17 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Pause between two looks at the members that are to follow a new leader.
+/// Pause between checks whether the other members follow the new leader.
 const SETTLING_PAUSE: Duration = Duration::from_millis(400);
-/// Such looks, at the most.
+/// Maximum number of such checks.
 const MAX_SETTLING_ROUNDS: usize = 12;
 
 impl Promotion {
-    /// Brings the other members to follow the new leader, in a task of its own.
+    /// Makes the other members follow the new leader, in a separate task.
     ///
-    /// A promotion ends the pause of every replica that hears of it. One that has not
-    /// heard is resumed only once the old leader is known to lead no more: until then it
-    /// could receive from it, and so let it acknowledge commits.
+    /// A promotion ends the pause of every replica that learns of it. One that has not learned of
+    /// it is resumed only once the old leader is known not to be primary any more: until then, the
+    /// replica could receive its log, and so let it acknowledge commits.
     pub(super) fn settle_others(&self, target: &MemberId) {
         let this = self.clone();
         let target = target.clone();
@@ -33,7 +33,7 @@
         });
     }
 
-    /// Returns whether nothing is left to do.
+    /// Checks the members once and sends the commands they need. Returns whether all is done.
     async fn settle_once(&self, target: &MemberId) -> bool {
         let stragglers = StragglerPolicy::WAIT_FOR_ALL;
         let surveyed =
@@ -65,7 +65,7 @@
         true
     }
 
-    /// Gives an order after the promotion, if the lease is still held.
+    /// Sends a command after the promotion, if the lease is still held.
     async fn send_control(&self, member: &Arc<Member>, control: Control) {
         let (Some(term), true) = (
             self.engine.terms().known(&self.group),
--- a/crates/engine/src/leadership/step_events.rs
+++ b/crates/engine/src/leadership/step_events.rs
@@ -1,4 +1,4 @@
-//! The events of a promotion: one for each step.
+//! Events written for the steps of a promotion.
 
 use super::choice::Obstacle;
 use super::promotion::Promotion;
--- a/crates/engine/src/leadership/survey.rs
+++ b/crates/engine/src/leadership/survey.rs
@@ -1,4 +1,4 @@
-//! Asking the members of a group about themselves, and giving them orders.
+//! Status requests and control commands to the members of a group.
 
 use crate::directory::{Member, MemberState, Role};
 use crate::engine::Engine;
@@ -11,25 +11,25 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Longest time for one order, its connection included.
+/// Timeout of one control command, including the connection setup.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(450);
-/// How long a member whose entry has gone is still asked for. One that refuses
-/// connections for all that time has left.
+/// How long after its entry has gone a member may still return. A member that refuses
+/// connections after that time has left.
 const GONE_MEMBER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What came of asking a member.
+/// Result of sending a control command to a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Response {
     /// It answered.
     Report(MemberReport),
-    /// Nobody listens at its address, or another does: it does not run now.
+    /// The member isn't running: nothing listens on its address, or another member does.
     Down(String),
-    /// It runs, and did not take the order: it is too busy, accepts no more connections, or
-    /// has refused.
+    /// It is running but did not carry out the command: it is too busy, accepts no more
+    /// connections, or has refused.
     Declined(String),
-    /// Its server has started again without its log.
+    /// Its server has restarted without its log.
     RestartedEmpty,
-    /// Nothing is known.
+    /// Its state is unknown.
     Silent(String),
 }
 
@@ -43,17 +43,17 @@
     }
 }
 
-/// A member and what came of asking it.
+/// A member and its response.
 #[derive(Debug, Clone)]
 pub struct SurveyedMember {
     /// The member.
     pub member: Arc<Member>,
-    /// What came of it.
+    /// Its response.
     pub response: Response,
 }
 
 impl SurveyedMember {
-    /// Whether it has left for good, as far as can be known.
+    /// Whether the member counts as having left for good.
     pub fn has_left(&self, now: Instant) -> bool {
         let MemberState::Gone(departure) = self.member.state else {
             return false;
@@ -72,7 +72,7 @@
     }
 }
 
-/// Gives `control` to one member.
+/// Sends `control` to one member.
 pub async fn send_control(engine: &Engine, member: &Arc<Member>, control: Control) -> Response {
     if engine.directory().has_ended(member) {
         return Response::RestartedEmpty;
@@ -88,29 +88,29 @@
     }
 }
 
-/// How long a survey waits for the last members.
+/// How long a survey waits for the last members to answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StragglerPolicy {
-    /// Members that may be left out.
+    /// Number of members whose answers may be missing.
     max_stragglers: usize,
-    /// Wait for them after all others have answered.
+    /// How long to wait for them after all others have answered.
     grace: Duration,
 }
 
 impl StragglerPolicy {
-    /// Every member is waited for.
+    /// Waits for every member.
     pub const WAIT_FOR_ALL: Self = Self {
         max_stragglers: 0,
         grace: Duration::ZERO,
     };
-    /// One member, which is likely lost, is waited for only a moment longer than the rest.
+    /// Waits for the last member, which has likely failed, only briefly after all others.
     pub const SKIP_ONE_STRAGGLER: Self = Self {
         max_stragglers: 1,
         grace: Duration::from_millis(50),
     };
 }
 
-/// Gives each member of `group` the order that `control_for` names for it, all at once.
+/// Sends each member of `group` the command that `control_for` returns for it, all concurrently.
 pub async fn survey(
     engine: &Engine,
     group: &GroupName,
@@ -121,7 +121,7 @@
     survey_members(engine, members, control_for, stragglers).await
 }
 
-/// The same for `members` only.
+/// Like [`survey`], for `members` only.
 pub async fn survey_members(
     engine: &Engine,
     members: Vec<Arc<Member>>,
