--- a/crates/engine/src/leadership/access.rs
+++ b/crates/engine/src/leadership/access.rs
@@ -1,4 +1,4 @@
-//! Waiting for a leader that may be used.
+//! Waiting for a usable leader.
 
 use crate::engine::Engine;
 use crate::following;
@@ -9,17 +9,17 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-/// Pause before the store is asked again for evidence.
+/// Pause before evidence is requested again.
 const EVIDENCE_RETRY_PAUSE: Duration = Duration::from_millis(40);
-/// How long news of a change of leader that is under way are waited for before anybody is asked:
-/// no evidence can be had before its end, which followers hear of within some 50 ms.
+/// How long to wait for the end of a change of leader before requesting evidence. There is no
+/// evidence before its end, and followers learn of that within about 50 ms.
 const CHANGE_WAIT: Duration = Duration::from_millis(400);
-/// Age of the newest evidence from which on a process may be cut off.
+/// Age of the newest evidence after which a process may count as cut off.
 const CUT_OFF_AFTER: Duration = Duration::from_secs(1);
-/// Wait for the store before other processes are asked.
+/// How long to wait for the store before asking other processes.
 const STORE_WAIT: Duration = Duration::from_millis(20);
 
-/// The leader that may be given writes, if there is one by `until`.
+/// The leader that accepts writes, or `None` if there is none by `until`.
 pub async fn writable_leader(group: &Group, until: Instant) -> Option<UsableLeader> {
     let mut changes = group.subscribe();
     loop {
@@ -37,8 +37,8 @@
     }
 }
 
-/// The leader whose log holds, by the evidence for its term, every commit acknowledged
-/// longer than `staleness` ago; the store is asked where evidence is lacking.
+/// The leader whose log holds, according to the evidence for its term, every commit acknowledged
+/// more than `staleness` ago. Requests evidence if it is missing.
 pub async fn leased_leader(
     engine: &Engine,
     group: &Group,
@@ -57,9 +57,9 @@
             if now >= until {
                 return None;
             }
-            // Whichever brings evidence first: who is asked, or a commit of another session.
-            // A commit that a slow replica confirms late brings evidence that is too old, again
-            // and again: it must not make the asking begin anew.
+            // Evidence comes from the request or from a commit of another session, whichever is
+            // first. Commits that a slow replica confirms late keep bringing evidence that is too
+            // old, so they must not restart the request.
             tokio::select! {
                 _ = commits.changed() => {}
                 () = &mut evidence_refresh => break,
@@ -69,16 +69,16 @@
     }
 }
 
-/// Whether this process has heard neither of the leader nor of the store for so long that it
-/// is not likely to learn of a leader soon.
+/// Whether this process has heard from neither the leader nor the store for so long that it is
+/// unlikely to find a leader soon.
 pub fn is_cut_off(engine: &Engine, group: &Group, now: Instant) -> bool {
     let evidence = group.evidence();
     let is_old = evidence.is_none_or(|at| now > at + CUT_OFF_AFTER);
     is_old && following::is_out_of_date(engine, now)
 }
 
-/// Asks a home of the leader for evidence, then the store, and other processes where it does
-/// not answer soon; where none has brought any, waits a moment.
+/// Requests evidence from a home of the leader, then from the store, and from other processes if
+/// the store doesn't answer soon. Pauses if none of them had any.
 async fn refresh(engine: &Engine, group: &Group, staleness: Duration) {
     if following::follows_others(engine) && wait_for_change(group).await {
         return;
@@ -94,10 +94,10 @@
     }
 }
 
-/// Waits while a change of leader is under way; returns whether it has gone on. In a large fleet
-/// every process with a read for the leader would ask the store again and again: 242 calls in
-/// the 3 s around a change with 24 processes, 52 with this wait, 39 without a change (in-memory
-/// fleet, a read each 0.1 s at each process).
+/// Waits for the next step of a change of leader, if one is in progress; returns whether there was
+/// one. In a large fleet, every process with a read for the leader would otherwise query the store
+/// repeatedly: 242 calls in the 3 s around a change with 24 processes, 52 with this wait, 39
+/// without a change (in-memory fleet, a read every 0.1 s in each process).
 async fn wait_for_change(group: &Group) -> bool {
     let mut changes = group.subscribe();
     changes.mark_unchanged();
@@ -106,8 +106,8 @@
     is_changing && timeout(CHANGE_WAIT, changes.changed()).await.is_ok()
 }
 
-/// Asks the keeper of the group's evidence, then the holder of the lease, the store, and other
-/// processes.
+/// Renews the group's evidence from its keeper, or else from the lease holder, the store or other
+/// processes, in this order.
 pub async fn renew_evidence(engine: &Engine, group: &Group) {
     if home::ask_keeper(engine, group).await {
         return;
@@ -115,7 +115,7 @@
     if term_confirmation::renew(engine, group).await {
         return;
     }
-    // A failure is told by the task that follows the records.
+    // The task that follows the records reports failures.
     let store = engine.terms().refresh(engine, group, Instant::now());
     let answered = timeout(STORE_WAIT, store).await;
     if !matches!(answered, Ok(Ok(()))) {
@@ -123,7 +123,7 @@
     }
 }
 
-/// Resolves once the leadership of `epoch` is over: another leader is chosen.
+/// Resolves once the leader of `epoch` is superseded by another usable leader.
 pub async fn wait_until_superseded(group: &Group, epoch: Epoch) {
     let mut changes = group.subscribe();
     loop {
--- a/crates/engine/src/leadership/follower.rs
+++ b/crates/engine/src/leadership/follower.rs
@@ -1,4 +1,4 @@
-//! Follows the records of leaderships, and reads them when evidence is needed.
+//! Follows the term records, and reads them when evidence is needed.
 
 use super::fleet;
 use super::fleet_index;
@@ -20,17 +20,17 @@
 use tokio::sync::Mutex as AsyncMutex;
 use tokio::time::{Instant, sleep};
 
-/// A record of a leadership with its version in the store.
+/// A term record with its version in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionedTerm {
     /// The record.
     pub record: TermRecord,
-    /// Its version in the store; zero where the store has lost it.
+    /// Its version in the store; zero if the store has lost it.
     pub version: StoreVersion,
 }
 
 impl VersionedTerm {
-    /// The record as the store has it.
+    /// The record in the form of the store.
     fn to_record(&self) -> Record {
         Record {
             key: TermRecord::key(&self.record.group),
@@ -40,23 +40,23 @@
     }
 }
 
-/// Reads and watches records.
+/// Reads and watches the records in the store.
 #[derive(Debug)]
 pub struct TermFollower {
     records: Arc<dyn RecordStore>,
     reading: AsyncMutex<()>,
     known: Mutex<HashMap<GroupName, VersionedTerm>>,
     has_read: tokio::sync::watch::Sender<bool>,
-    /// Whether it is known which record this process has.
+    /// Whether it is known if this process has a record.
     knows_own: tokio::sync::watch::Sender<bool>,
     other_records: tokio::sync::watch::Sender<HashMap<String, Record>>,
     version: tokio::sync::watch::Sender<StoreVersion>,
-    /// Groups whose record the store has lost, or shows as it was before.
+    /// Groups whose record the store has lost or has reverted to an earlier one.
     lost: tokio::sync::watch::Sender<BTreeSet<GroupName>>,
 }
 
 impl TermFollower {
-    /// Nothing is read yet.
+    /// Creates a follower; reads nothing yet.
     pub fn new(records: Arc<dyn RecordStore>) -> Self {
         Self {
             records,
@@ -70,28 +70,28 @@
         }
     }
 
-    /// The store that the records lie in.
+    /// The store that holds the records.
     pub fn store(&self) -> &Arc<dyn RecordStore> {
         &self.records
     }
 
-    /// The record of `group` as it was last seen.
+    /// The last known record of `group`.
     pub fn known(&self, group: &str) -> Option<VersionedTerm> {
         let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         known.get(group).cloned()
     }
 
-    /// Records other than those of leaderships, by key.
+    /// Notifies of changes of the records other than term records, by key.
     pub fn subscribe_other_records(&self) -> tokio::sync::watch::Receiver<HashMap<String, Record>> {
         self.other_records.subscribe()
     }
 
-    /// Reads the record of `group` now, and those of the other groups of its
-    /// [block](block_of), unless another task has done so since `since`.
+    /// Reads the record of `group` and those of the other groups of its [block](block_of), unless
+    /// another task has done so since `since`.
     ///
     /// # Errors
     ///
-    /// [`RecordStoreError`] where the store gave no answer.
+    /// [`RecordStoreError`] if the store did not answer.
     pub async fn refresh(
         &self,
         engine: &Engine,
@@ -104,7 +104,7 @@
         }
         let directory = engine.directory();
         let groups = groups_in_block(&directory, group);
-        // Neither is empty: they hold the group.
+        // The block contains the group, so it isn't empty.
         let (first, last) = (&groups[0], &groups[groups.len() - 1]);
         let (first, last) = (TermRecord::key(first), TermRecord::key(last));
         let begun = Instant::now();
@@ -114,8 +114,8 @@
         Ok(())
     }
 
-    /// Takes what is known of `group`, and of the other groups of its block, for the newest as of
-    /// `begun`.
+    /// Confirms the known records of `group` and of the other groups of its block as the newest
+    /// ones as of `begun`.
     pub(super) fn confirm_block(&self, engine: &Engine, group: &Group, begun: Instant) {
         let directory = engine.directory();
         let groups = groups_in_block(&directory, group);
@@ -131,11 +131,11 @@
         self.apply_first_leaders(engine, groups, begun);
     }
 
-    /// Reads the records of all terms.
+    /// Reads all term records.
     ///
     /// # Errors
     ///
-    /// [`RecordStoreError`] where the store gave no answer.
+    /// [`RecordStoreError`] if the store did not answer.
     pub(super) async fn read_terms(&self, engine: &Engine) -> Result<(), RecordStoreError> {
         let begun = Instant::now();
         let read = self.records.read(TermRecord::KEY_PREFIX).await?;
@@ -143,18 +143,18 @@
         Ok(())
     }
 
-    /// The version of the newest record of a term that is known; zero where there is none.
+    /// The version of the newest known term record; zero if there is none.
     pub(super) fn newest_term(&self) -> StoreVersion {
         let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         let versions = known.values().map(|term| term.version);
         versions.max().unwrap_or(0)
     }
 
-    /// Reads the index of the fleet, and no other records; returns whether there is one.
+    /// Reads only the fleet index; returns whether there is one.
     ///
     /// # Errors
     ///
-    /// [`RecordStoreError`] where the store gave no answer.
+    /// [`RecordStoreError`] if the store did not answer.
     pub async fn read_index(&self) -> Result<bool, RecordStoreError> {
         let key = fleet_index::KEY;
         let read = self.records.read_between(key, key).await?;
@@ -163,11 +163,11 @@
         Ok(found)
     }
 
-    /// Reads the records of the processes of the fleet, and no others.
+    /// Reads only the records of the processes of the fleet.
     ///
     /// # Errors
     ///
-    /// [`RecordStoreError`] where the store gave no answer.
+    /// [`RecordStoreError`] if the store did not answer.
     pub async fn read_processes(&self) -> Result<(), RecordStoreError> {
         let read = self.records.read(fleet::KEY_PREFIX).await?;
         self.insert_other_records(read.written);
@@ -182,10 +182,10 @@
         });
     }
 
-    /// Resolves once it is known whether this process has a record.
+    /// Waits until it is known whether this process has a record.
     pub async fn wait_until_own_known(&self) {
         let mut knows_own = self.knows_own.subscribe();
-        // The sender lives as long as this does.
+        // The sender lives as long as `self`, so the wait can't fail.
         let _ = knows_own.wait_for(|known| *known).await;
     }
 
@@ -245,27 +245,27 @@
         }
     }
 
-    /// The store's version as of which the records are known.
+    /// The version of the store as of which the records are known.
     pub fn version(&self) -> StoreVersion {
         *self.version.borrow()
     }
 
-    /// Tells of later versions.
+    /// Notifies of later versions.
     pub fn subscribe_version(&self) -> tokio::sync::watch::Receiver<StoreVersion> {
         self.version.subscribe()
     }
 
-    /// Tells of groups whose record the store has lost.
+    /// Notifies of groups whose record the store has lost.
     pub fn subscribe_lost(&self) -> tokio::sync::watch::Receiver<BTreeSet<GroupName>> {
         self.lost.subscribe()
     }
 
-    /// Notes that the record of `group` is in the store again, or another in its place.
+    /// Notes that the store has the record of `group`, or another one, again.
     pub fn clear_lost(&self, group: &GroupName) {
         self.lost.send_if_modified(|lost| lost.remove(group));
     }
 
-    /// The records that were written after `version`, as far as they are known.
+    /// The known records that were written after `version`.
     pub fn records_after(&self, version: StoreVersion) -> Vec<Record> {
         let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         let terms = known.values().map(|term| term.to_record());
@@ -274,25 +274,25 @@
         all.filter(|record| record.version > version).collect()
     }
 
-    /// Takes changes that another process has learned from the store.
+    /// Applies changes that another process has read from the store.
     pub fn apply_changes(&self, engine: &Engine, changes: &RecordChanges) {
         let era = era_of(changes.version);
         let is_new_era = era > era_of(self.version());
         self.apply(engine, changes, None);
-        // All that there is in a later era is newer than what was known.
+        // On entering a later era, the changes contain every record of it.
         if is_new_era {
             self.drop_lost(era);
         }
         self.advance_version(changes.version);
-        // Whoever knows nothing is told everything: groups without a record were never promoted.
+        // The first changes contain all records: groups without one were never promoted.
         if changes.version > 0 && !self.mark_read() {
             self.directory_changed(engine);
         }
     }
 
-    /// Forgets what the store has lost: what was not seen in `era`, of which everything is
-    /// known. Terms are not forgotten: a number that was given to one leader must not be given
-    /// to another.
+    /// Drops the records that the store has lost, which are those not seen in `era`; all records of
+    /// `era` must be known. Term records are only marked as lost, because an epoch that was given
+    /// to one leader must not be given to another.
     fn drop_lost(&self, era: StoreEra) {
         let is_lost = |version: StoreVersion| version > 0 && era_of(version) < era;
         self.other_records.send_if_modified(|others| {
@@ -321,7 +321,7 @@
         });
     }
 
-    /// Takes one record that this process has just written or read.
+    /// Applies one term record that this process has just written or read.
     pub fn apply_one(&self, engine: &Engine, term: VersionedTerm, begun: Option<Instant>) {
         if !self.insert_if_newer(&term) {
             return;
@@ -333,12 +333,12 @@
         }
     }
 
-    /// Writes `value` in place of `known`, a record other than a leadership's, and notes it. One
-    /// that another process has written meanwhile is left.
+    /// Writes `value` over `known`, a record other than a term record, and remembers it. A record
+    /// that another process has written meanwhile is not overwritten.
     ///
     /// # Errors
     ///
-    /// [`RecordStoreError`] where the store gave no answer.
+    /// [`RecordStoreError`] if the store did not answer.
     pub async fn put_other_record(
         &self,
         key: String,
@@ -354,11 +354,11 @@
         self.put_other_records(vec![put]).await
     }
 
-    /// The same of several records, in one call: all are written or none.
+    /// Like [`Self::put_other_record`] for several records in one call: all are written, or none.
     ///
     /// # Errors
     ///
-    /// [`RecordStoreError`] where the store gave no answer.
+    /// [`RecordStoreError`] if the store did not answer.
     pub async fn put_other_records(
         &self,
         puts: Vec<RecordPut>,
@@ -375,7 +375,7 @@
         Ok(outcome)
     }
 
-    /// Takes a changed directory: a leader may have come back under another name.
+    /// Applies a changed directory: a leader may have returned under another member id.
     pub fn directory_changed(&self, engine: &Engine) {
         let directory = engine.directory();
         for name in directory.groups() {
@@ -393,8 +393,9 @@
         }
     }
 
-    /// Applies what was read. `evidence` is when the read was begun, if it showed the newest
-    /// records: a watch may hear of changes late, so what it tells is no evidence.
+    /// Applies records that were read. `evidence` is the time at which the read was begun, if it
+    /// returned the newest records. A watch may deliver changes late, so its results are no
+    /// evidence.
     fn apply(&self, engine: &Engine, changes: &RecordChanges, evidence: Option<Instant>) {
         for record in &changes.written {
             if record.key.starts_with(TermRecord::KEY_PREFIX) {
@@ -408,22 +409,21 @@
         }
     }
 
-    /// Whether the records were read in whole: before, members may be unknown whose entries
-    /// have gone.
+    /// Whether all records were read. Before that, members whose entries have gone may be unknown.
     pub fn has_read(&self) -> bool {
         *self.has_read.borrow()
     }
 
-    /// Notes that all records are known; returns whether they were.
+    /// Notes that all records are known; returns whether they already were.
     fn mark_read(&self) -> bool {
         self.knows_own.send_replace(true);
         self.has_read.send_replace(true)
     }
 
-    /// Resolves once the records were read in whole.
+    /// Waits until all records were read.
     pub async fn wait_until_read(&self) {
         let mut has_read = self.has_read.subscribe();
-        // The sender lives as long as this does.
+        // The sender lives as long as `self`, so the wait can't fail.
         let _ = has_read.wait_for(|read| *read).await;
     }
 
@@ -434,11 +434,12 @@
                 let record = term;
                 self.apply_one(engine, VersionedTerm { record, version }, begun);
             }
-            Err(error) => log::error!("record {}: {error}", record.key),
+            Err(error) => log::error!("ignoring record {}: {error}", record.key),
         }
     }
 
-    /// Groups without a record are led by whoever says so: nobody was ever promoted.
+    /// Applies the leaders of groups without a record. Nobody was ever promoted there, so the
+    /// member whose entry says that it is primary leads.
     fn apply_first_leaders(&self, engine: &Engine, groups: &[GroupName], begun: Instant) {
         let directory = engine.directory();
         for name in groups {
@@ -449,9 +450,9 @@
         }
     }
 
-    /// Remembers `term` unless a later version is known; returns whether none is. A store that
-    /// was restored may show a later version of an earlier term: that is only noted as what
-    /// is to be written over.
+    /// Stores `term` unless a later one is known; returns whether it was stored. A restored store
+    /// may return an earlier term under a later version: of that, only the version is kept, to be
+    /// overwritten with the known term.
     fn insert_if_newer(&self, term: &VersionedTerm) -> bool {
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         let group = &term.record.group;
@@ -471,13 +472,13 @@
     }
 }
 
-/// The groups of the [block](block_of) of `group`, it included.
+/// The groups of the [block](block_of) of `group`, including itself.
 fn groups_in_block<'a>(directory: &'a Directory, group: &'a Group) -> &'a [GroupName] {
     let block = block_of(directory.group_names(), group.name());
     block.map_or(std::slice::from_ref(group.name()), |block| block.groups)
 }
 
-/// The record with the names of those that act for its target and the leader before.
+/// The record with its target replaced by the member that acts for it, if the term is active.
 fn resolve_acting_leader(directory: &Directory, record: TermRecord) -> TermRecord {
     let acting = |id: &MemberId| {
         let address = record.target_address;
@@ -501,7 +502,7 @@
     });
 }
 
-/// The only member of `group` that says it leads.
+/// The only member of `group` whose entry says that it is primary, if there is exactly one.
 fn first_leader(directory: &Directory, group: &str) -> Option<MemberId> {
     let members = directory.members_of(group);
     let mut leaders = members
--- a/crates/engine/src/leadership/freshness.rs
+++ b/crates/engine/src/leadership/freshness.rs
@@ -1,4 +1,4 @@
-//! Learning a position that covers a moment, where the traffic has not brought one.
+//! Determining a log position that covers a moment, if the traffic has not provided one.
 
 use super::survey::{self, Response, StragglerPolicy, SurveyedMember};
 use crate::directory::Member;
@@ -16,12 +16,13 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Longest time for one question.
+/// Timeout of one request to the leader.
 const POSITION_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A position that covers every commit acknowledged before `moment`, learned by `until`.
+/// A position that covers every commit acknowledged before `moment`, or `None` if none is known by
+/// `until`.
 ///
-/// One task asks at a time for each group; the others share what it learns.
+/// For each group one task at a time sends requests; the other tasks share the results.
 pub async fn covering_position(
     engine: &Engine,
     group: &Group,
@@ -35,7 +36,7 @@
     if let Some(position) = group.covering_position(moment) {
         return Some(position);
     }
-    // A home of the leader sees the whole fleet's commits.
+    // A home of the leader sees the commits of the whole fleet.
     if home::ask_for_position(engine, group).await
         && let Some(position) = group.covering_position(moment)
     {
@@ -58,9 +59,9 @@
     group.covering_position(moment)
 }
 
-/// Asks all members that may be sent anything how far they have received the log. An acknowledged commit lies on
-/// the leader and on as many replicas as had to receive it: where no more members than
-/// that are silent, the highest position told covers every one of them.
+/// Asks all members that may be contacted how far they have received the log. An acknowledged
+/// commit is held by the leader and by as many replicas as had to receive it. If no more members
+/// than that number of replicas are silent, the highest reported position covers every such commit.
 async fn ask_members(engine: &Engine, group: &Group) {
     if !engine.terms().has_read() {
         return;
@@ -77,12 +78,13 @@
     let mut members = survey::survey_members(engine, asked, |_| Control::Status, stragglers).await;
     members.extend(held_back.into_iter().map(|member| SurveyedMember {
         member,
-        response: Response::Silent("not asked any more".to_owned()),
+        response: Response::Silent("sending is not allowed".to_owned()),
     }));
     let reports = members.iter().filter_map(|m| m.response.report());
     let silent = members.iter().filter(|member| {
         let answered = member.response.report().is_some();
-        // A life that has ended took its log along, however long ago: nobody tells how far it was.
+        // A server that restarted without its log may have held commits, however long ago that
+        // was, and nobody knows how many: it still counts as silent.
         let has_left = member.has_left(sent) && member.response != Response::RestartedEmpty;
         !answered && !has_left && !is_replaced(member, &members)
     });
@@ -93,7 +95,7 @@
     }
 }
 
-/// Whether another server has come back in the member's place, with its log.
+/// Whether another server has taken over the member's address, with its log.
 fn is_replaced(member: &SurveyedMember, members: &[SurveyedMember]) -> bool {
     let same_address = |other: &SurveyedMember| {
         let is_other = other.member.id != member.member.id
@@ -103,14 +105,15 @@
     member.member.is_gone() && members.iter().any(same_address)
 }
 
-/// Opens a transaction at the leader and ends it at once: its answer tells the position
-/// of the log and takes none of the member's slots. A member that does not lead refuses.
+/// Opens a transaction at the leader and rolls it back at once: the answer contains the log
+/// position, and the transaction takes none of the member's slots. A member that is not the
+/// leader refuses it.
 pub(crate) async fn ask_leader(engine: &Engine, group: &Group) -> Option<()> {
     let now = Instant::now();
     let leader = group.leased_leader(now, Duration::ZERO)?;
     let directory = engine.directory();
     let member = directory.member(&leader.member)?;
-    // The question holds nothing of a caller.
+    // The request contains no data of a caller.
     let topology = &engine.settings().topology;
     let member = Residency::ANYWHERE.admit(topology, Arc::clone(member))?;
     let pool = engine.session_pool(&member);
--- a/crates/engine/src/leadership/report.rs
+++ b/crates/engine/src/leadership/report.rs
@@ -1,4 +1,4 @@
-//! Suspicions that processes record for the holder of the lease.
+//! Suspicions that processes record for the lease holder.
 
 use super::suspicion::Suspicion;
 use crate::encoding;
@@ -18,15 +18,15 @@
     pub group: GroupName,
     /// The epoch of the leader.
     pub epoch: Epoch,
-    /// Who suspects it.
+    /// The process that suspects it.
     pub reporter: NodeName,
-    /// On which evidence.
+    /// Name of the suspicion.
     pub evidence: String,
-    /// Differs between two reports of the same.
+    /// Differs between two reports of the same suspicion.
     pub nonce: u64,
 }
 
-/// Records a suspicion. What fails is tried again with the next suspicion.
+/// Records a suspicion. A failed write is not retried: the next suspicion records another.
 pub async fn record(engine: &Engine, group: &GroupName, epoch: Epoch, suspicion: Suspicion) {
     let reporter = engine.settings().node.clone();
     let key = format!("{KEY_PREFIX}{group}/{reporter}");
@@ -43,7 +43,7 @@
     let _ = engine.terms().store().put_if(&key, version, value).await;
 }
 
-/// Reads a record, if it is a suspicion.
+/// Decodes a record, if it is a suspicion.
 pub fn decode(record: &Record) -> Option<SuspicionReport> {
     let is_report = record.key.starts_with(KEY_PREFIX);
     is_report.then(|| rmp_serde::from_slice(&record.value).ok())?
--- a/crates/engine/src/leadership/suspicion.rs
+++ b/crates/engine/src/leadership/suspicion.rs
@@ -1,8 +1,7 @@
-//! Suspecting a leader, on evidence that costs nothing first.
+//! Failure detection for leaders, from passive observations first.
 //!
-//! The traffic of this process tells whether the leader answers, and whether commits are
-//! acknowledged. Only where it has been silent is the leader asked, over a connection of
-//! its own.
+//! The traffic of this process shows whether the leader answers and whether commits are
+//! acknowledged. Only if the leader has been silent is it probed, over a separate connection.
 
 use super::survey::{self, Response, StragglerPolicy};
 use crate::directory::{Member, MemberState, Role};
@@ -13,44 +12,45 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Silence after which a leader is asked.
+/// Time without an answer after which a leader is probed.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(220);
-/// Time after which a leader is asked to which no connection can be opened.
+/// Time without a successful connection attempt after which a leader is probed.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(20);
-/// Time without an acknowledged commit after which replication is looked at.
+/// Time without an acknowledged commit after which replication is checked.
 const COMMIT_STALL_TIMEOUT: Duration = Duration::from_millis(450);
-/// How long an entry may be away before its member is replaced as leader.
+/// How long a leader's entry may be missing before the leader is suspected.
 const GONE_GRACE: Duration = Duration::from_millis(2_600);
-/// How much longer one that answers as leader is kept, as a share of the time for which members
-/// that leave are still used. Entries also go because the store takes too few of them, hundreds in
-/// one moment, and come back; a leader that has really left serves on for longer than this.
+/// How long a leader without an entry is kept if it still answers as primary, as a share of the
+/// time for which leaving members are used. Hundreds of entries may expire at once because the
+/// store accepts too few writes, and come back; a leader that has really left serves for longer
+/// than this.
 const ANSWERING_GRACE_SHARE: f64 = 0.75;
-/// Longest wait for the answer to one question.
+/// Timeout of one status request.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(220);
-/// Pause between two questions.
+/// Pause between status requests.
 const STATUS_PAUSE: Duration = Duration::from_millis(50);
-/// Questions without an answer after which a leader counts as lost.
+/// Number of unanswered status requests after which a leader counts as unreachable.
 const STATUS_ATTEMPTS: usize = 2;
 
 /// Why a leader is suspected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Suspicion {
-    /// It has said that it is going to leave.
+    /// It has announced its shutdown.
     Leaving,
-    /// Its entry has been away for long.
+    /// Its directory entry has been missing for too long.
     EntryGone,
     /// It does not answer.
     Unreachable,
-    /// It answers, but its commits are not acknowledged.
+    /// It answers, but commits are not acknowledged.
     CommitsStalled,
-    /// It answers that it does not lead.
+    /// It answers as a replica.
     NotLeading,
-    /// Its zone is evacuated; it may be well.
+    /// Its zone is evacuated; the leader itself may be healthy.
     ZoneEvacuated,
 }
 
 impl Suspicion {
-    /// Its name in events.
+    /// The name used in events and reports.
     pub fn name(self) -> &'static str {
         match self {
             Suspicion::Leaving => "leaving",
@@ -63,7 +63,7 @@
     }
 }
 
-/// What the traffic hints at, without a question asked.
+/// The suspicion that the directory and the traffic suggest, without a probe.
 pub fn hint(
     engine: &Engine,
     group: &Group,
@@ -94,8 +94,8 @@
     None
 }
 
-/// Looks at the leader of `group`; a suspicion that is returned was verified as far as
-/// this process can.
+/// Checks the leader of `group`. A returned suspicion was verified as far as this process can;
+/// with `is_reported`, the leader is probed even if this process has no hint of a failure.
 pub async fn verify(
     engine: &Engine,
     group: &Group,
@@ -117,7 +117,8 @@
     }
 }
 
-/// Whether a leader whose entry has gone is to be replaced: not while it answers as one, for a time.
+/// Whether a leader whose entry has gone is to be replaced. For a while, it is not as long as it
+/// answers as primary.
 async fn verify_entry_gone(engine: &Engine, leader: &Arc<Member>) -> Option<Suspicion> {
     let MemberState::Gone(gone) = leader.state else {
         return Some(Suspicion::EntryGone);
@@ -152,14 +153,14 @@
             Response::Down(_) | Response::Silent(_) => sleep(STATUS_PAUSE).await,
         }
     }
-    // One that is slow to answer questions may still answer statements.
+    // A leader that is slow to answer status requests may still answer statements.
     let heard = engine.pool(leader).health().heard_at();
     let is_alive = heard.is_some_and(|at| at >= began);
     (!is_alive).then_some(Suspicion::Unreachable)
 }
 
-/// Whether any replica receives what the leader has in its log. Where no replica answers,
-/// no other leader would fare better.
+/// Checks whether any replica has received the leader's log. If no replica answers, the leader is
+/// not suspected, since another leader would have no replicas either.
 async fn verify_replication(
     engine: &Engine,
     group: &Group,
@@ -206,7 +207,7 @@
 
 async fn request_status(engine: &Engine, leader: &Arc<Member>) -> Response {
     let status = survey::send_control(engine, leader, Control::Status);
-    let silent = || Response::Silent("no answer in time".to_owned());
+    let silent = || Response::Silent("timed out".to_owned());
     timeout(STATUS_TIMEOUT, status)
         .await
         .unwrap_or_else(|_| silent())
--- a/crates/engine/src/leadership/term_confirmation.rs
+++ b/crates/engine/src/leadership/term_confirmation.rs
@@ -1,9 +1,10 @@
-//! Evidence for the terms of leaders without the store.
+//! Confirms leadership terms without reading the store.
 //!
-//! Only the holder of the lease for promotions makes a leader, so it can vouch that nobody else
-//! has. One number will do for all groups: the version of the newest record of a term. Whoever
-//! knows the records up to that version knows who leads, as of the moment at which it asked.
-//! Reading the records for the same purpose costs calls that grow with the groups.
+//! Only the holder of the promotion lease changes leaders, so it can confirm that no leader was
+//! changed by anybody else. One number suffices for all groups: the version of the newest term
+//! record. A process that knows the records up to that version knows all leaders as of the moment
+//! at which it asked. Confirming them by reading the records would take a number of store calls
+//! that grows with the number of groups.
 
 use super::fleet_index::FleetIndex;
 use crate::engine::Engine;
@@ -16,23 +17,24 @@
 use tokio::sync::Mutex as AsyncMutex;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long the holder's answer is waited for before the store is read: many times what an
-/// answer takes.
+/// How long to wait for the holder's answer before reading the store. Many times the usual
+/// response time.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
-/// How long a process that did not vouch is not asked again: about half of what it takes until
-/// a lost holder has a successor.
+/// How long a process that did not confirm is not asked again. About half the time until a failed
+/// lease holder has a successor.
 const BACKOFF: Duration = Duration::from_millis(700);
 /// Pause before a new holder reads the records again after a failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// What a process needs to vouch, or to ask who does.
+/// State for confirming terms as the lease holder, or for asking the holder to.
 #[derive(Debug, Default)]
 pub struct TermConfirmation {
-    /// The holding of the lease for which this process knows all records of terms.
+    /// The fencing number of the lease under which this process knows all term records.
     complete_for_fencing: Mutex<Option<FencingNumber>>,
-    /// Held while the holder is asked: its answer is for all groups.
+    /// Held during a request to the holder: one answer covers all groups.
     request_lock: AsyncMutex<()>,
-    /// Who did not vouch when it was asked last, and until when it is not asked again.
+    /// The process that did not confirm when last asked, and the time until which it is not asked
+    /// again.
     backoff: Mutex<Option<(SocketAddr, Instant)>>,
 }
 
@@ -48,8 +50,8 @@
     }
 }
 
-/// Reads the records of terms each time this process has taken the lease: the feed may tell late
-/// what the holder before has recorded.
+/// Reads the term records each time this process has acquired the lease: the feed may deliver the
+/// previous holder's writes late.
 pub(super) async fn maintain(engine: &Engine) {
     let mut fencing_changes = engine.duty().subscribe_fencing();
     loop {
@@ -58,7 +60,7 @@
             match engine.terms().read_terms(engine).await {
                 Ok(()) => *lock(&engine.vouching().complete_for_fencing) = Some(fencing),
                 Err(error) => {
-                    log::warn!("the records of terms were not read: {error}");
+                    log::warn!("failed to read the term records: {error}");
                     sleep(RETRY_PAUSE).await;
                     continue;
                 }
@@ -70,16 +72,16 @@
     }
 }
 
-/// The version of the newest record of a term; `None` unless this process holds the lease and
-/// knows all that was recorded before.
+/// The version of the newest term record; `None` unless this process holds the lease and knows all
+/// records written before.
 pub(crate) fn newest_term(engine: &Engine) -> Option<StoreVersion> {
     let fencing = engine.duty().check()?;
     let complete_for_fencing = *lock(&engine.vouching().complete_for_fencing);
     (complete_for_fencing == Some(fencing)).then(|| engine.terms().newest_term())
 }
 
-/// Renews the evidence for the leader of `group`, and for those of its block, by what the holder
-/// of the lease vouches for; returns whether that was enough.
+/// Renews the evidence for the leader of `group`, and for those of its block, with a confirmation
+/// from the lease holder. Returns whether that succeeded.
 pub(crate) async fn renew(engine: &Engine, group: &Group) -> bool {
     let since = Instant::now();
     let _one_at_a_time = engine.vouching().request_lock.lock().await;
@@ -102,7 +104,7 @@
     is_renewed
 }
 
-/// What the holder of the lease vouches for, if it is known and answers.
+/// The version that the lease holder confirms, if the holder is known and answers.
 async fn ask_holder(engine: &Engine) -> Option<StoreVersion> {
     if let Some(newest) = newest_term(engine) {
         return Some(newest);
@@ -123,7 +125,7 @@
     newest
 }
 
-/// Where the holder answers, by the index of the fleet.
+/// The holder's address according to the fleet index.
 fn holder_address(engine: &Engine) -> Option<SocketAddr> {
     let others = engine.terms().subscribe_other_records();
     let index = FleetIndex::from_records(&others.borrow())?;
--- a/crates/engine/src/leadership/term_recovery.rs
+++ b/crates/engine/src/leadership/term_recovery.rs
@@ -1,4 +1,4 @@
-//! Writes records of leaderships again that a restored store has lost.
+//! Rewrites term records that a restored store has lost.
 
 use super::follower::VersionedTerm;
 use super::record::TermRecord;
@@ -11,8 +11,8 @@
 /// Pause after a failed write.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Writes lost records again until the process ends. In a large fleet many know them: those do
-/// that follow the store themselves, and who wrote a record last.
+/// Rewrites lost records until the process ends. In a large fleet many processes know them; only
+/// those that follow the store directly and the last writer of a record rewrite it.
 pub async fn rewrite_lost_terms(engine: &Engine) {
     let mut lost = engine.terms().subscribe_lost();
     // The sender lives as long as this does.
@@ -28,8 +28,8 @@
     }
 }
 
-/// Writes the record of `group` over what the store has, if that is for this process to do. Where
-/// another process has written meanwhile, what it wrote will be told.
+/// Writes the record of `group` over the store's, if this process is to do so. If another process
+/// has written one meanwhile, the feed delivers that.
 async fn rewrite_term(engine: &Engine, group: &GroupName) -> Result<(), RecordStoreError> {
     let terms = engine.terms();
     let known = terms.known(group);
@@ -48,7 +48,7 @@
     let outcome = put.await?;
     terms.clear_lost(group);
     if let PutOutcome::Stored(version) = outcome {
-        log::info!("the record of {group} was lost with its store's copy, and is written again");
+        log::info!("the store had lost the term record of group {group}: it was rewritten");
         let term = VersionedTerm { version, ..term };
         terms.apply_one(engine, term, Some(begun));
     }
--- a/crates/engine/src/leadership/watcher.rs
+++ b/crates/engine/src/leadership/watcher.rs
@@ -1,4 +1,5 @@
-//! Watches the leaders of all groups; the holder of the lease acts, the others report.
+//! Monitors the leaders of all groups. The lease holder acts on suspicions, other processes report
+//! them.
 
 use super::leader_evacuation;
 use super::promotion::{Promotion, PromotionError};
@@ -16,40 +17,41 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Interval between two looks at the leaders.
+/// Interval between checks of the leaders.
 const CHECK_INTERVAL: Duration = Duration::from_millis(40);
-/// Least time between two reports of one suspicion.
+/// Minimum time between two reports of the same suspicion.
 const REPORT_INTERVAL: Duration = Duration::from_millis(700);
-/// How long a report counts.
+/// How long a report remains valid.
 const REPORT_TTL: Duration = Duration::from_millis(2_500);
-/// Least number of processes that must suspect a leader which the holder itself finds
-/// well; a third of the fleet where that is more.
+/// Minimum number of processes that must suspect a leader that the lease holder itself finds
+/// healthy; a third of the processes that monitor the group if that is more.
 const MIN_REPORTERS: usize = 2;
-/// Pause after a leader was asked and found well.
+/// Pause after a leader was verified to be healthy.
 const HEALTHY_PAUSE: Duration = Duration::from_millis(250);
-/// Pause before a group is looked at again whose commits no replica receives.
+/// Pause before the next check of a group whose commits no replica receives.
 const STALLED_PAUSE: Duration = Duration::from_millis(800);
-/// Pause after a suspicion that another process has to act on.
+/// Pause after a suspicion was reported to the lease holder.
 const REPORTED_PAUSE: Duration = Duration::from_millis(200);
-/// Pause after a promotion that this process could not complete.
+/// Pause after a promotion that failed in this process.
 const FAILED_PAUSE: Duration = Duration::from_millis(120);
 
-/// What the watcher remembers between two looks.
+/// State that the watcher keeps between checks.
 #[derive(Debug, Default)]
 struct WatcherState {
-    /// Groups that a task is looking after.
+    /// Groups that a task is checking.
     busy: HashSet<GroupName>,
     /// When a suspicion was last reported.
     last_reported: HashMap<GroupName, Instant>,
     /// Groups whose leaders are being moved out of evacuated zones.
     moving: HashSet<GroupName>,
-    /// How many of these there may be.
+    /// Maximum number of groups in `moving`.
     max_concurrent_moves: usize,
-    /// Others' suspicions, by group: who, of which epoch, and when this was learned.
+    /// Suspicions of other processes by group and reporter, with the epoch of the suspected leader
+    /// and the time at which the report was read.
     reports: HashMap<GroupName, HashMap<NodeName, (Epoch, Instant)>>,
 }
 
-/// Shared by the tasks of the groups.
+/// Shared by the tasks that check the groups.
 #[derive(Debug, Clone)]
 struct Watcher {
     engine: Arc<Engine>,
@@ -58,7 +60,7 @@
     state: Arc<Mutex<WatcherState>>,
 }
 
-/// Watches until the process ends.
+/// Monitors the leaders until the process ends.
 pub async fn watch(
     engine: &Arc<Engine>,
     promoter: &Arc<dyn Promoter>,
@@ -79,8 +81,8 @@
 }
 
 impl Watcher {
-    /// Looks at the groups about which there is anything to be done. The holder of the lease
-    /// looks at all; any other process at those of the members that it uses.
+    /// Starts a check of each group that needs one. The lease holder considers all groups, any
+    /// other process those of the members that it uses.
     fn check_groups(&self) {
         let holds_lease = self.lease.check().is_some();
         let mut names = match holds_lease {
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Whether a look at the group could lead to anything.
+    /// Whether a check of the group could lead to an action.
     fn needs_check(&self, name: &GroupName, holds_lease: bool) -> bool {
         if holds_lease
             && (self.has_unfinished_promotion(name)
@@ -126,7 +128,7 @@
         member.is_none_or(|member| suspicion::hint(&self.engine, &group, member, now).is_some())
     }
 
-    /// Looks at one group in a task of its own, unless one does so already.
+    /// Checks one group in a separate task, unless a check is already running.
     fn spawn_check(&self, name: GroupName) {
         if !self.state().busy.insert(name.clone()) {
             return;
@@ -193,8 +195,8 @@
         }
     }
 
-    /// Whether the leader is to be moved out of an evacuated zone now: few groups at a time
-    /// are without a leader for it.
+    /// Whether the leader is to be moved out of an evacuated zone now. The number of concurrent
+    /// moves is limited, because a group has no leader while it moves.
     async fn try_start_move(&self, group: &GroupName) -> bool {
         if !leader_evacuation::should_move_leader(&self.engine, group) {
             return false;
@@ -208,14 +210,14 @@
         }
         let has_successor = leader_evacuation::has_caught_up_successor(&self.engine, group).await;
         if !has_successor {
-            // Another group may move meanwhile.
+            // Lets another group move meanwhile.
             self.state().moving.remove(group);
             sleep(HEALTHY_PAUSE).await;
         }
         has_successor
     }
 
-    /// Whether a promotion was begun and not completed.
+    /// Whether a promotion was begun but not completed.
     fn has_unfinished_promotion(&self, group: &GroupName) -> bool {
         let known = self.engine.terms().known(group);
         known.is_some_and(|term| term.record.phase != TermPhase::Active)
@@ -228,7 +230,7 @@
             lease: Arc::clone(&self.lease),
             group: group.clone(),
         };
-        // The record may have changed unseen.
+        // The record may have changed since it was last read.
         let _ = self
             .engine
             .terms()
@@ -240,7 +242,7 @@
         }
         self.state().reports.remove(group);
         if let Err(error) = result {
-            log::warn!("promotion in {group}: {error}");
+            log::warn!("promotion in group {group} failed: {error}");
             sleep(FAILED_PAUSE).await;
         }
     }
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Learns of suspicions that others record.
+    /// Collects the suspicions that other processes record.
     async fn collect_reports(&self) {
         let mut others = self.engine.terms().subscribe_other_records();
         let mut versions: HashMap<String, u64> = HashMap::new();
@@ -283,7 +285,7 @@
         }
     }
 
-    /// How many processes suspect the leader of `epoch` now.
+    /// Number of processes that currently suspect the leader of `epoch`.
     fn reporters(&self, group: &GroupName, epoch: Epoch) -> usize {
         let now = Instant::now();
         let state = self.state();
