--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -131,10 +131,10 @@
     pools: Mutex<HashMap<MemberId, Arc<MemberPool>>>,
     remote_pools: Mutex<HashMap<(MemberId, Residency), Arc<MemberPool>>>,
     homes: Arc<Homes>,
-    duty: Arc<PromotionLease>,
-    vouching: TermConfirmation,
+    promotion_lease: Arc<PromotionLease>,
+    term_confirmation: TermConfirmation,
     /// The lease for promotions as its holder has told it last.
-    promotion_lease_told: watch::Sender<Option<LeaseRecord>>,
+    announced_promotion_lease: watch::Sender<Option<LeaseRecord>>,
     following: Following,
     counters: Counters,
     refusals: Refusals,
@@ -166,9 +166,9 @@
             remote_pools: Mutex::default(),
             homes: Arc::new(homes),
             following,
-            duty: Arc::default(),
-            vouching: TermConfirmation::default(),
-            promotion_lease_told: watch::Sender::new(None),
+            promotion_lease: Arc::default(),
+            term_confirmation: TermConfirmation::default(),
+            announced_promotion_lease: watch::Sender::new(None),
             counters: Counters::default(),
             refusals: Refusals::default(),
             slow_starts: SlowStarts::default(),
@@ -456,18 +456,18 @@
     }
 
     /// The lease for promotions as far as this process holds it.
-    pub(crate) fn duty(&self) -> &Arc<PromotionLease> {
-        &self.duty
+    pub(crate) fn promotion_lease(&self) -> &Arc<PromotionLease> {
+        &self.promotion_lease
     }
 
     /// What vouching for the terms of leaders needs.
-    pub(crate) fn vouching(&self) -> &TermConfirmation {
-        &self.vouching
+    pub(crate) fn term_confirmation(&self) -> &TermConfirmation {
+        &self.term_confirmation
     }
 
     /// The lease for promotions as its holder has told this process last.
-    pub fn promotion_lease_told(&self) -> &watch::Sender<Option<LeaseRecord>> {
-        &self.promotion_lease_told
+    pub fn announced_promotion_lease(&self) -> &watch::Sender<Option<LeaseRecord>> {
+        &self.announced_promotion_lease
     }
 
     /// The homes of the members.
--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -296,8 +296,8 @@
 
 /// Learns from other processes, where there are some to learn from, until the process ends.
 ///
-/// Whoever holds `duty` follows the store itself: what others report there must reach it soon.
-pub async fn follow(engine: &Engine, duty: &PromotionLease) {
+/// Whoever holds `lease` follows the store itself: what others report there must reach it soon.
+pub async fn follow(engine: &Engine, lease: &PromotionLease) {
     let mut dependency = DependencyMonitor::new("followers");
     let mut search = Search::default();
     settle(engine).await;
@@ -307,7 +307,7 @@
             sleep(PAUSE).await;
             continue;
         }
-        let source = match duty.check() {
+        let source = match lease.check() {
             Some(_) => Source::Store,
             None => engine.homes().source(&engine.settings().zone),
         };
--- a/crates/engine/src/home/placement.rs
+++ b/crates/engine/src/home/placement.rs
@@ -240,7 +240,7 @@
     candidates: HashMap<MemberId, Arc<[Peer]>>,
     keepers: HashMap<(usize, Option<RegionName>), Arc<[Peer]>>,
     followers: HashMap<ZoneName, Arc<[Peer]>>,
-    duty_order: Option<Arc<[Peer]>>,
+    lease_order: Option<Arc<[Peer]>>,
     zones: Option<Arc<[ZoneName]>>,
     counters: HashMap<Shard, Arc<[Peer]>>,
     /// The process that granted permits of a shard last.
@@ -281,8 +281,8 @@
     /// All processes in the order in which they are to hold duties of the whole fleet:
     /// followers first, since they hear of the store first. The first of them follow the
     /// store itself.
-    fn duty_order(&mut self) -> Arc<[Peer]> {
-        if let Some(known) = &self.duty_order {
+    fn lease_order(&mut self) -> Arc<[Peer]> {
+        if let Some(known) = &self.lease_order {
             return Arc::clone(known);
         }
         let mut order = self.ranked_followers();
@@ -293,7 +293,7 @@
             .collect();
         order.extend(others);
         let order: Arc<[Peer]> = order.into();
-        self.duty_order = Some(Arc::clone(&order));
+        self.lease_order = Some(Arc::clone(&order));
         order
     }
 
@@ -360,7 +360,7 @@
             ranking.candidates.clear();
             ranking.keepers.clear();
             ranking.followers.clear();
-            ranking.duty_order = None;
+            ranking.lease_order = None;
             ranking.zones = None;
             ranking.counters.clear();
             ranking.fleet = fleet;
@@ -387,7 +387,7 @@
     pub fn source(&self, zone: &ZoneName) -> Source {
         let (order, followers) = {
             let mut ranking = self.lock();
-            (ranking.duty_order(), ranking.followers_of(zone))
+            (ranking.lease_order(), ranking.followers_of(zone))
         };
         let roots = &order[..ROOTS.min(order.len())];
         if self.is_among(roots) {
@@ -405,14 +405,14 @@
     /// This process's place in the order in which processes are to hold duties of the whole
     /// fleet, the same everywhere; zero is first. Those that hear of the store first come
     /// first. `None` where the fleet does not know this process yet.
-    pub fn duty_rank(&self) -> Option<usize> {
-        let order = self.lock().duty_order();
+    pub fn lease_rank(&self) -> Option<usize> {
+        let order = self.lock().lease_order();
         order.iter().position(|peer| peer.node == self.own)
     }
 
     /// Where the first `count` processes of that order answer, but for this one.
-    pub fn duty_addresses(&self, count: usize) -> Vec<SocketAddr> {
-        let order = self.lock().duty_order();
+    pub fn lease_candidate_addresses(&self, count: usize) -> Vec<SocketAddr> {
+        let order = self.lock().lease_order();
         let first = order.iter().take(count);
         let others = first.filter(|peer| peer.node != self.own);
         others.map(|peer| peer.address).collect()
--- a/crates/engine/src/leadership/fleet.rs
+++ b/crates/engine/src/leadership/fleet.rs
@@ -62,7 +62,7 @@
 /// Rank of this process in an order that is the same in all processes; zero is first. A process
 /// that isn't registered yet ranks last.
 pub fn rank(engine: &Engine) -> usize {
-    let rank = engine.homes().duty_rank();
+    let rank = engine.homes().lease_rank();
     let rank = rank.filter(|_| is_registered(engine));
     rank.unwrap_or(usize::MAX)
 }
--- a/crates/engine/src/leadership/mod.rs
+++ b/crates/engine/src/leadership/mod.rs
@@ -45,7 +45,7 @@
 
 /// Runs all leadership tasks of this process until it ends.
 pub async fn run(engine: Arc<Engine>, promoter: Arc<dyn Promoter>) {
-    let lease = Arc::clone(engine.duty());
+    let lease = Arc::clone(engine.promotion_lease());
     tokio::join!(
         engine.terms().follow(&engine),
         learn_first_leaders(&engine),
--- a/crates/engine/src/leadership/promotion_lease.rs
+++ b/crates/engine/src/leadership/promotion_lease.rs
@@ -142,7 +142,7 @@
         )
         .reclaiming_earlier_lives();
         let mut stop = engine.subscribe_stop();
-        let mut announced = engine.promotion_lease_told().subscribe();
+        let mut announced = engine.announced_promotion_lease().subscribe();
         let mut next_at = Instant::now();
         loop {
             let is_announced = tokio::select! {
@@ -222,7 +222,7 @@
 /// don't have to read it from the store. In an in-memory fleet of 21 processes, one of them
 /// acquires the lease within 1.5 s after its holder is killed, instead of 1.6 to 1.9 s.
 async fn notify_candidates(engine: &Engine, record: &LeaseRecord) {
-    let addresses = engine.homes().duty_addresses(CANDIDATES);
+    let addresses = engine.homes().lease_candidate_addresses(CANDIDATES);
     let tell = |link: &Link| link.tell_promotion_lease(record);
     engine.homes().links().tell_each(addresses, tell).await;
 }
--- a/crates/engine/src/leadership/term_confirmation.rs
+++ b/crates/engine/src/leadership/term_confirmation.rs
@@ -53,12 +53,12 @@
 /// Reads the term records each time this process has acquired the lease: the feed may deliver the
 /// previous holder's writes late.
 pub(super) async fn maintain(engine: &Engine) {
-    let mut fencing_changes = engine.duty().subscribe_fencing();
+    let mut fencing_changes = engine.promotion_lease().subscribe_fencing();
     loop {
         let fencing = *fencing_changes.borrow_and_update();
         if let Some(fencing) = fencing {
             match engine.terms().read_terms(engine).await {
-                Ok(()) => *lock(&engine.vouching().complete_for_fencing) = Some(fencing),
+                Ok(()) => *lock(&engine.term_confirmation().complete_for_fencing) = Some(fencing),
                 Err(error) => {
                     log::warn!("failed to read the term records: {error}");
                     sleep(RETRY_PAUSE).await;
@@ -75,8 +75,8 @@
 /// The version of the newest term record; `None` unless this process holds the lease and knows all
 /// records written before.
 pub(crate) fn newest_term(engine: &Engine) -> Option<StoreVersion> {
-    let fencing = engine.duty().check()?;
-    let complete_for_fencing = *lock(&engine.vouching().complete_for_fencing);
+    let fencing = engine.promotion_lease().check()?;
+    let complete_for_fencing = *lock(&engine.term_confirmation().complete_for_fencing);
     (complete_for_fencing == Some(fencing)).then(|| engine.terms().newest_term())
 }
 
@@ -84,7 +84,7 @@
 /// from the lease holder. Returns whether that succeeded.
 pub(crate) async fn renew(engine: &Engine, group: &Group) -> bool {
     let since = Instant::now();
-    let _one_at_a_time = engine.vouching().request_lock.lock().await;
+    let _one_at_a_time = engine.term_confirmation().request_lock.lock().await;
     if group.evidence() >= Some(since) {
         return true;
     }
@@ -110,7 +110,7 @@
         return Some(newest);
     }
     let holder = holder_address(engine)?;
-    let confirmation = engine.vouching();
+    let confirmation = engine.term_confirmation();
     if confirmation.is_backing_off(holder) {
         return None;
     }
