--- a/crates/engine/src/leadership/mod.rs
+++ b/crates/engine/src/leadership/mod.rs
@@ -66,7 +66,7 @@
     );
 }
 
-/// Periodically removes lapsed entries that were expected to return and have not.
+/// Periodically marks members as gone whose lapsed entries have not returned in time.
 async fn end_lapses(engine: &Engine) {
     loop {
         sleep(LAPSE_INTERVAL).await;
