--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -26,8 +26,8 @@
 use crate::engine::Engine;
 use crate::events::{DependencyMonitor, millis};
 use crate::home::placement::StoreSource;
-use crate::leadership::duty::Duty;
 use crate::leadership::fleet;
+use crate::leadership::promotion_lease::PromotionLease;
 use crate::link::frame::{FeedVersions, FollowedVersions, News};
 use crate::peers::declared;
 use crate::ports::{Record, RecordChanges};
@@ -296,8 +296,8 @@
 
 /// Learns from other processes, where there are some to learn from, until the process ends.
 ///
-/// Whoever holds `duty` follows the store itself: what others report there must reach it soon.
-pub async fn follow(engine: &Engine, duty: &Duty) {
+/// Whoever holds `lease` follows the store itself: what others report there must reach it soon.
+pub async fn follow(engine: &Engine, lease: &PromotionLease) {
     let mut dependency = DependencyMonitor::new("followers");
     let mut search = Search::default();
     settle(engine).await;
@@ -307,7 +307,7 @@
             sleep(PAUSE).await;
             continue;
         }
-        let source = match duty.check() {
+        let source = match lease.check() {
             Some(_) => StoreSource::Store,
             None => engine.homes().store_source(&engine.settings().zone),
         };
@@ -529,7 +529,7 @@
             written: news.records,
             version: news.records_version,
         };
-        engine.terms().take_changes(engine, &changes);
+        engine.terms().apply_changes(engine, &changes);
     }
 }
 
--- a/crates/engine/src/home/placement.rs
+++ b/crates/engine/src/home/placement.rs
@@ -256,7 +256,7 @@
     candidates: HashMap<MemberId, Arc<[Peer]>>,
     evidence_readers: HashMap<(usize, Option<RegionName>), Arc<[Peer]>>,
     followers: HashMap<ZoneName, Arc<[Peer]>>,
-    duty_order: Option<Arc<[Peer]>>,
+    lease_order: Option<Arc<[Peer]>>,
     zones: Option<Arc<[ZoneName]>>,
     counters: HashMap<Shard, Arc<[Peer]>>,
     /// Address of the process that last answered for each shard.
@@ -297,8 +297,8 @@
     /// Returns all processes in the order in which they take on fleet-wide duties. Followers come
     /// first, since they receive the store's state first. The first of them read the store
     /// directly.
-    fn duty_order(&mut self) -> Arc<[Peer]> {
-        if let Some(known) = &self.duty_order {
+    fn lease_order(&mut self) -> Arc<[Peer]> {
+        if let Some(known) = &self.lease_order {
             return Arc::clone(known);
         }
         let mut order = self.ranked_followers();
@@ -309,7 +309,7 @@
             .collect();
         order.extend(others);
         let order: Arc<[Peer]> = order.into();
-        self.duty_order = Some(Arc::clone(&order));
+        self.lease_order = Some(Arc::clone(&order));
         order
     }
 
@@ -376,7 +376,7 @@
             ranking.candidates.clear();
             ranking.evidence_readers.clear();
             ranking.followers.clear();
-            ranking.duty_order = None;
+            ranking.lease_order = None;
             ranking.zones = None;
             ranking.counters.clear();
             ranking.fleet = fleet;
@@ -404,7 +404,7 @@
     pub fn store_source(&self, zone: &ZoneName) -> StoreSource {
         let (order, followers) = {
             let mut ranking = self.lock();
-            (ranking.duty_order(), ranking.followers_of(zone))
+            (ranking.lease_order(), ranking.followers_of(zone))
         };
         let store_followers = &order[..STORE_FOLLOWERS.min(order.len())];
         if self.is_among(store_followers) {
@@ -422,14 +422,14 @@
     /// Returns this process's rank, starting at zero, in the order in which processes take on
     /// fleet-wide duties. The order is the same in every process; those that receive the store's
     /// state first come first. `None` if this process is not part of the known fleet yet.
-    pub fn duty_rank(&self) -> Option<usize> {
-        let order = self.lock().duty_order();
+    pub fn lease_rank(&self) -> Option<usize> {
+        let order = self.lock().lease_order();
         order.iter().position(|peer| peer.node == self.own)
     }
 
     /// Returns the addresses of the first `count` processes of that order, except this one.
-    pub fn duty_addresses(&self, count: usize) -> Vec<SocketAddr> {
-        let order = self.lock().duty_order();
+    pub fn lease_candidate_addresses(&self, count: usize) -> Vec<SocketAddr> {
+        let order = self.lock().lease_order();
         let first = order.iter().take(count);
         let others = first.filter(|peer| peer.node != self.own);
         others.map(|peer| peer.address).collect()
--- a/crates/engine/src/leadership/follower.rs
+++ b/crates/engine/src/leadership/follower.rs
@@ -1,4 +1,4 @@
-//! Follows the records of leaderships, and reads them when evidence is needed.
+//! Follows the term records, and reads them when evidence is needed.
 
 use super::fleet;
 use super::fleet_index;
@@ -20,17 +20,17 @@
 use tokio::sync::Mutex as AsyncMutex;
 use tokio::time::{Instant, sleep};
 
-/// A record of a leadership with its version in the store.
+/// A term record with its version in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionedTerm {
     /// The record.
     pub record: TermRecord,
-    /// Its version in the store; zero where the store has lost it.
+    /// Its version in the store; zero if the store has lost it.
     pub version: StoreVersion,
 }
 
 impl VersionedTerm {
-    /// The record as the store has it.
+    /// The record in the form of the store.
     fn to_record(&self) -> Record {
         Record {
             key: TermRecord::key(&self.record.group),
@@ -40,23 +40,23 @@
     }
 }
 
-/// Reads and watches records.
+/// Reads and watches the records in the store.
 #[derive(Debug)]
 pub struct TermFollower {
     records: Arc<dyn RecordStore>,
     reading: AsyncMutex<()>,
     known: Mutex<HashMap<GroupName, VersionedTerm>>,
     has_read: tokio::sync::watch::Sender<bool>,
-    /// Whether it is known which record this process has.
+    /// Whether it is known if the store has a record of this process.
     knows_own: tokio::sync::watch::Sender<bool>,
-    others: tokio::sync::watch::Sender<HashMap<String, Record>>,
+    other_records: tokio::sync::watch::Sender<HashMap<String, Record>>,
     version: tokio::sync::watch::Sender<StoreVersion>,
-    /// Groups whose record the store has lost, or shows as it was before.
+    /// Groups whose record the store has lost or has reverted to an earlier one.
     lost: tokio::sync::watch::Sender<BTreeSet<GroupName>>,
 }
 
 impl TermFollower {
-    /// Nothing is read yet.
+    /// Creates a follower; reads nothing yet.
     pub fn new(records: Arc<dyn RecordStore>) -> Self {
         Self {
             records,
@@ -64,34 +64,34 @@
             known: Mutex::default(),
             has_read: tokio::sync::watch::Sender::new(false),
             knows_own: tokio::sync::watch::Sender::new(false),
-            others: tokio::sync::watch::Sender::new(HashMap::new()),
+            other_records: tokio::sync::watch::Sender::new(HashMap::new()),
             version: tokio::sync::watch::Sender::new(0),
             lost: tokio::sync::watch::Sender::new(BTreeSet::new()),
         }
     }
 
-    /// The store that the records lie in.
+    /// The store that holds the records.
     pub fn store(&self) -> &Arc<dyn RecordStore> {
         &self.records
     }
 
-    /// The record of `group` as it was last seen.
+    /// The last known record of `group`.
     pub fn known(&self, group: &str) -> Option<VersionedTerm> {
         let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         known.get(group).cloned()
     }
 
-    /// Records other than those of leaderships, by key.
-    pub fn subscribe_others(&self) -> tokio::sync::watch::Receiver<HashMap<String, Record>> {
-        self.others.subscribe()
+    /// Notifies of changes of the records other than term records, by key.
+    pub fn subscribe_other_records(&self) -> tokio::sync::watch::Receiver<HashMap<String, Record>> {
+        self.other_records.subscribe()
     }
 
-    /// Reads the record of `group` now, and those of the other groups of its
-    /// [block](block_of), unless another task has done so since `since`.
+    /// Reads the record of `group` and those of the other groups of its [block](block_of), unless
+    /// another task has done so since `since`.
     ///
     /// # Errors
     ///
-    /// [`RecordStoreError`] where the store gave no answer.
+    /// [`RecordStoreError`] if the store did not answer.
     pub async fn refresh(
         &self,
         engine: &Engine,
@@ -103,8 +103,8 @@
             return Ok(());
         }
         let directory = engine.directory();
-        let groups = groups_beside(&directory, group);
-        // Neither is empty: they hold the group.
+        let groups = groups_in_block(&directory, group);
+        // The block contains the group, so it isn't empty.
         let (first, last) = (&groups[0], &groups[groups.len() - 1]);
         let (first, last) = (TermRecord::key(first), TermRecord::key(last));
         let begun = Instant::now();
@@ -114,28 +114,28 @@
         Ok(())
     }
 
-    /// Takes what is known of `group`, and of the other groups of its block, for the newest as of
-    /// `begun`.
+    /// Confirms the known records of `group` and of the other groups of its block as the newest
+    /// ones as of `begun`.
     pub(super) fn confirm_block(&self, engine: &Engine, group: &Group, begun: Instant) {
         let directory = engine.directory();
-        let groups = groups_beside(&directory, group);
+        let groups = groups_in_block(&directory, group);
         for name in groups {
             if let Some(term) = self.known(name) {
-                let record = acting_record(&directory, term.record);
+                let record = resolve_acting_leader(&directory, term.record);
                 let group = engine.group(name);
                 if group.apply_record(&record, Some(begun), Instant::now()) {
-                    tell_leader(engine, &group);
+                    emit_leader_changed(engine, &group);
                 }
             }
         }
         self.apply_first_leaders(engine, groups, begun);
     }
 
-    /// Reads the records of all terms.
+    /// Reads all term records.
     ///
     /// # Errors
     ///
-    /// [`RecordStoreError`] where the store gave no answer.
+    /// [`RecordStoreError`] if the store did not answer.
     pub(super) async fn read_terms(&self, engine: &Engine) -> Result<(), RecordStoreError> {
         let begun = Instant::now();
         let read = self.records.read(TermRecord::KEY_PREFIX).await?;
@@ -143,49 +143,49 @@
         Ok(())
     }
 
-    /// The version of the newest record of a term that is known; zero where there is none.
+    /// The version of the newest known term record; zero if there is none.
     pub(super) fn newest_term(&self) -> StoreVersion {
         let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         let versions = known.values().map(|term| term.version);
         versions.max().unwrap_or(0)
     }
 
-    /// Reads the index of the fleet, and no other records; returns whether there is one.
+    /// Reads only the fleet index; returns whether there is one.
     ///
     /// # Errors
     ///
-    /// [`RecordStoreError`] where the store gave no answer.
+    /// [`RecordStoreError`] if the store did not answer.
     pub async fn read_index(&self) -> Result<bool, RecordStoreError> {
         let key = fleet_index::KEY;
         let read = self.records.read_between(key, key).await?;
         let found = !read.written.is_empty();
-        self.note_others(read.written);
+        self.insert_other_records(read.written);
         Ok(found)
     }
 
-    /// Reads the records of the processes of the fleet, and no others.
+    /// Reads only the records of the processes of the fleet.
     ///
     /// # Errors
     ///
-    /// [`RecordStoreError`] where the store gave no answer.
+    /// [`RecordStoreError`] if the store did not answer.
     pub async fn read_processes(&self) -> Result<(), RecordStoreError> {
         let read = self.records.read(fleet::KEY_PREFIX).await?;
-        self.note_others(read.written);
+        self.insert_other_records(read.written);
         self.knows_own.send_replace(true);
         Ok(())
     }
 
-    fn note_others(&self, records: Vec<Record>) {
+    fn insert_other_records(&self, records: Vec<Record>) {
         let records = records.into_iter();
-        self.others.send_modify(|others| {
+        self.other_records.send_modify(|others| {
             others.extend(records.map(|record| (record.key.clone(), record)));
         });
     }
 
-    /// Resolves once it is known whether this process has a record.
-    pub async fn until_own_known(&self) {
+    /// Waits until it is known whether the store has a record of this process.
+    pub async fn wait_until_own_known(&self) {
         let mut knows_own = self.knows_own.subscribe();
-        // The sender lives as long as this does.
+        // The sender lives as long as `self`, so the wait can't fail.
         let _ = knows_own.wait_for(|known| *known).await;
     }
 
@@ -195,8 +195,8 @@
         let mut failures = 0;
         let mut dependency = DependencyMonitor::new("term_records");
         loop {
-            let turned = engine.following().until_direct().await;
-            if turned {
+            let became_direct = engine.following().until_direct().await;
+            if became_direct {
                 version = engine.following().resume_from(Feed::Records);
                 version = version.filter(|_| self.has_read());
             }
@@ -204,7 +204,7 @@
             let result = match version {
                 None => self.records.read("").await,
                 Some(after) => {
-                    let wait = following::first_wait(turned, failures, engine.feed_wait());
+                    let wait = following::first_wait(became_direct, failures, engine.feed_wait());
                     self.records.watch(after, wait).await
                 }
             };
@@ -212,16 +212,16 @@
                 Ok(changes) => {
                     failures = 0;
                     dependency.note(engine.events(), None);
-                    let whole = version.is_none();
-                    self.apply(engine, &changes, whole.then_some(begun));
-                    self.note_read();
-                    if whole {
-                        self.forget_lost(era_of(changes.version));
+                    let is_full_read = version.is_none();
+                    self.apply(engine, &changes, is_full_read.then_some(begun));
+                    self.mark_read();
+                    if is_full_read {
+                        self.drop_lost(era_of(changes.version));
                         let groups = engine.directory().groups();
                         self.apply_first_leaders(engine, &groups, begun);
                     }
                     version = Some(changes.version);
-                    self.advance(changes.version);
+                    self.advance_version(changes.version);
                     engine.slow_starts().prove_records(begun);
                     let now = Instant::now();
                     engine
@@ -245,57 +245,57 @@
         }
     }
 
-    /// The store's version as of which the records are known.
+    /// The version of the store as of which the records are known.
     pub fn version(&self) -> StoreVersion {
         *self.version.borrow()
     }
 
-    /// Tells of later versions.
+    /// Notifies of later versions.
     pub fn subscribe_version(&self) -> tokio::sync::watch::Receiver<StoreVersion> {
         self.version.subscribe()
     }
 
-    /// Tells of groups whose record the store has lost.
+    /// Notifies of groups whose record the store has lost.
     pub fn subscribe_lost(&self) -> tokio::sync::watch::Receiver<BTreeSet<GroupName>> {
         self.lost.subscribe()
     }
 
-    /// Notes that the record of `group` is in the store again, or another in its place.
-    pub fn found(&self, group: &GroupName) {
+    /// Notes that the store has the record of `group`, or another one, again.
+    pub fn clear_lost(&self, group: &GroupName) {
         self.lost.send_if_modified(|lost| lost.remove(group));
     }
 
-    /// The records that were written after `version`, as far as they are known.
+    /// The known records that were written after `version`.
     pub fn records_after(&self, version: StoreVersion) -> Vec<Record> {
         let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         let terms = known.values().map(|term| term.to_record());
-        let others = self.others.borrow();
+        let others = self.other_records.borrow();
         let all = terms.chain(others.values().cloned());
         all.filter(|record| record.version > version).collect()
     }
 
-    /// Takes changes that another process has learned from the store.
-    pub fn take_changes(&self, engine: &Engine, changes: &RecordChanges) {
+    /// Applies changes that another process has read from the store.
+    pub fn apply_changes(&self, engine: &Engine, changes: &RecordChanges) {
         let era = era_of(changes.version);
-        let entered = era > era_of(self.version());
+        let is_new_era = era > era_of(self.version());
         self.apply(engine, changes, None);
-        // All that there is in a later era is newer than what was known.
-        if entered {
-            self.forget_lost(era);
+        // On entering a later era, the changes contain every record of it.
+        if is_new_era {
+            self.drop_lost(era);
         }
-        self.advance(changes.version);
-        // Whoever knows nothing is told everything: groups without a record were never promoted.
-        if changes.version > 0 && !self.note_read() {
+        self.advance_version(changes.version);
+        // The first changes contain all records: groups without one were never promoted.
+        if changes.version > 0 && !self.mark_read() {
             self.directory_changed(engine);
         }
     }
 
-    /// Forgets what the store has lost: what was not seen in `era`, of which everything is
-    /// known. Terms are not forgotten: a number that was given to one leader must not be given
-    /// to another.
-    fn forget_lost(&self, era: StoreEra) {
+    /// Drops the records that the store has lost, which are those not seen in `era`; all records of
+    /// `era` must be known. Term records are only marked as lost, because an epoch that was given
+    /// to one leader must not be given to another.
+    fn drop_lost(&self, era: StoreEra) {
         let is_lost = |version: StoreVersion| version > 0 && era_of(version) < era;
-        self.others.send_if_modified(|others| {
+        self.other_records.send_if_modified(|others| {
             let before = others.len();
             others.retain(|_, record| !is_lost(record.version));
             others.len() < before
@@ -303,17 +303,17 @@
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         for term in known.values_mut().filter(|term| is_lost(term.version)) {
             term.version = 0;
-            self.note_lost(&term.record.group);
+            self.mark_lost(&term.record.group);
         }
     }
 
-    fn note_lost(&self, group: &GroupName) {
+    fn mark_lost(&self, group: &GroupName) {
         self.lost.send_modify(|lost| {
             lost.insert(group.clone());
         });
     }
 
-    fn advance(&self, version: StoreVersion) {
+    fn advance_version(&self, version: StoreVersion) {
         self.version.send_if_modified(|known| {
             let later = *known < version;
             *known = version.max(*known);
@@ -321,25 +321,25 @@
         });
     }
 
-    /// Takes one record that this process has just written or read.
+    /// Applies one term record that this process has just written or read.
     pub fn apply_one(&self, engine: &Engine, term: VersionedTerm, begun: Option<Instant>) {
-        if !self.keep(&term) {
+        if !self.insert_if_newer(&term) {
             return;
         }
         let group = engine.group(&term.record.group);
-        let record = acting_record(&engine.directory(), term.record);
+        let record = resolve_acting_leader(&engine.directory(), term.record);
         if group.apply_record(&record, begun, Instant::now()) {
-            tell_leader(engine, &group);
+            emit_leader_changed(engine, &group);
         }
     }
 
-    /// Writes `value` in place of `known`, a record other than a leadership's, and notes it. One
-    /// that another process has written meanwhile is left.
+    /// Writes `value` over `known`, a record other than a term record, and remembers it. A record
+    /// that another process has written meanwhile is not overwritten.
     ///
     /// # Errors
     ///
-    /// [`RecordStoreError`] where the store gave no answer.
-    pub async fn put_other(
+    /// [`RecordStoreError`] if the store did not answer.
+    pub async fn put_other_record(
         &self,
         key: String,
         known: Option<&Record>,
@@ -351,15 +351,18 @@
             expected,
             value,
         };
-        self.put_others(vec![put]).await
+        self.put_other_records(vec![put]).await
     }
 
-    /// The same of several records, in one call: all are written or none.
+    /// Like [`Self::put_other_record`] for several records in one call: all are written, or none.
     ///
     /// # Errors
     ///
-    /// [`RecordStoreError`] where the store gave no answer.
-    pub async fn put_others(&self, puts: Vec<RecordPut>) -> Result<PutOutcome, RecordStoreError> {
+    /// [`RecordStoreError`] if the store did not answer.
+    pub async fn put_other_records(
+        &self,
+        puts: Vec<RecordPut>,
+    ) -> Result<PutOutcome, RecordStoreError> {
         let outcome = self.records.put_all(&puts).await?;
         if let PutOutcome::Stored(version) = outcome {
             let written = puts.into_iter().map(|put| Record {
@@ -367,60 +370,60 @@
                 value: put.value,
                 version,
             });
-            self.note_others(written.collect());
+            self.insert_other_records(written.collect());
         }
         Ok(outcome)
     }
 
-    /// Takes a changed directory: a leader may have come back under another name.
+    /// Applies a changed directory: a leader may have returned under another member id.
     pub fn directory_changed(&self, engine: &Engine) {
         let directory = engine.directory();
         for name in directory.groups() {
             let group = engine.group(&name);
             let changed = match self.known(&name) {
                 Some(term) => {
-                    let record = acting_record(&directory, term.record);
+                    let record = resolve_acting_leader(&directory, term.record);
                     group.apply_record(&record, None, Instant::now())
                 }
                 None => group.apply_first_leader(first_leader(&directory, &name), None),
             };
             if changed {
-                tell_leader(engine, &group);
+                emit_leader_changed(engine, &group);
             }
         }
     }
 
-    /// Applies what was read. `evidence` is when the read was begun, if it showed the newest
-    /// records: a watch may hear of changes late, so what it tells is no evidence.
+    /// Applies records that were read. `evidence` is the time at which the read was begun, if it
+    /// returned the newest records. A watch may deliver changes late, so its results are no
+    /// evidence.
     fn apply(&self, engine: &Engine, changes: &RecordChanges, evidence: Option<Instant>) {
         for record in &changes.written {
             if record.key.starts_with(TermRecord::KEY_PREFIX) {
                 self.apply_stored(engine, record, evidence);
             } else {
-                roster::take(engine, record);
-                self.others.send_modify(|others| {
+                roster::apply_record(engine, record);
+                self.other_records.send_modify(|others| {
                     others.insert(record.key.clone(), record.clone());
                 });
             }
         }
     }
 
-    /// Whether the records were read in whole: before, members may be unknown whose entries
-    /// have gone.
+    /// Whether all records were read. Before that, members whose entries have gone may be unknown.
     pub fn has_read(&self) -> bool {
         *self.has_read.borrow()
     }
 
-    /// Notes that all records are known; returns whether they were.
-    fn note_read(&self) -> bool {
+    /// Notes that all records are known; returns whether they already were.
+    fn mark_read(&self) -> bool {
         self.knows_own.send_replace(true);
         self.has_read.send_replace(true)
     }
 
-    /// Resolves once the records were read in whole.
-    pub async fn until_read(&self) {
+    /// Waits until all records were read.
+    pub async fn wait_until_read(&self) {
         let mut has_read = self.has_read.subscribe();
-        // The sender lives as long as this does.
+        // The sender lives as long as `self`, so the wait can't fail.
         let _ = has_read.wait_for(|read| *read).await;
     }
 
@@ -431,11 +434,12 @@
                 let record = term;
                 self.apply_one(engine, VersionedTerm { record, version }, begun);
             }
-            Err(error) => log::error!("record {}: {error}", record.key),
+            Err(error) => log::error!("ignoring record {}: {error}", record.key),
         }
     }
 
-    /// Groups without a record are led by whoever says so: nobody was ever promoted.
+    /// Applies the leaders of groups without a record. Nobody was ever promoted there, so the
+    /// member whose entry says that it is primary leads.
     fn apply_first_leaders(&self, engine: &Engine, groups: &[GroupName], begun: Instant) {
         let directory = engine.directory();
         for name in groups {
@@ -446,36 +450,36 @@
         }
     }
 
-    /// Remembers `term` unless a later version is known; returns whether none is. A store that
-    /// was restored may show a later version of an earlier term: that is only noted as what
-    /// is to be written over.
-    fn keep(&self, term: &VersionedTerm) -> bool {
+    /// Stores `term` unless a later one is known; returns whether it was stored. A restored store
+    /// may return an earlier term under a later version: of that, only the version is kept, to be
+    /// overwritten with the known term.
+    fn insert_if_newer(&self, term: &VersionedTerm) -> bool {
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         let group = &term.record.group;
         match known.get_mut(group) {
             Some(before) if before.version > term.version => false,
             Some(before) if before.record.is_ahead_of(&term.record) => {
                 before.version = term.version;
-                self.note_lost(group);
+                self.mark_lost(group);
                 false
             }
             _ => {
                 known.insert(group.clone(), term.clone());
-                self.found(group);
+                self.clear_lost(group);
                 true
             }
         }
     }
 }
 
-/// The groups of the [block](block_of) of `group`, it included.
-fn groups_beside<'a>(directory: &'a Directory, group: &'a Group) -> &'a [GroupName] {
+/// The groups of the [block](block_of) of `group`, including itself.
+fn groups_in_block<'a>(directory: &'a Directory, group: &'a Group) -> &'a [GroupName] {
     let block = block_of(directory.group_names(), group.name());
     block.map_or(std::slice::from_ref(group.name()), |block| block.groups)
 }
 
-/// The record with the names of those that act for its target and the leader before.
-fn acting_record(directory: &Directory, record: TermRecord) -> TermRecord {
+/// The record with its target replaced by the member that acts for it, if the term is active.
+fn resolve_acting_leader(directory: &Directory, record: TermRecord) -> TermRecord {
     let acting = |id: &MemberId| {
         let address = record.target_address;
         let member = directory.acting_member(&record.group, id, address);
@@ -488,7 +492,7 @@
     TermRecord { target, ..record }
 }
 
-fn tell_leader(engine: &Engine, group: &Group) {
+fn emit_leader_changed(engine: &Engine, group: &Group) {
     let view = group.view();
     engine.events().write(&Event::LeaderChanged {
         group: group.name().clone(),
@@ -498,7 +502,7 @@
     });
 }
 
-/// The only member of `group` that says it leads.
+/// The only member of `group` whose entry says that it is primary, if there is exactly one.
 fn first_leader(directory: &Directory, group: &str) -> Option<MemberId> {
     let members = directory.members_of(group);
     let mut leaders = members
--- a/crates/engine/src/leadership/settling.rs
+++ b/crates/engine/src/leadership/settling.rs
@@ -1,7 +1,7 @@
-//! After a promotion: the other members are brought to follow the new leader.
+//! After a promotion, makes the other members follow the new leader.
 
 use super::promotion::Promotion;
-use super::survey::{self, Patience, Response};
+use super::survey::{self, Response, StragglerPolicy};
 use crate::directory::{Member, Role};
 use crate::names::MemberId;
 use crate::ports::Control;
@@ -9,23 +9,23 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Pause between two looks at the members that are to follow a new leader.
+/// Pause between checks whether the other members follow the new leader.
 const SETTLING_PAUSE: Duration = Duration::from_millis(400);
-/// Such looks, at the most.
-const SETTLING_ROUNDS: usize = 12;
+/// Maximum number of such checks.
+const MAX_SETTLING_ROUNDS: usize = 12;
 
 impl Promotion {
-    /// Brings the other members to follow the new leader, in a task of its own.
+    /// Makes the other members follow the new leader, in a separate task.
     ///
-    /// A promotion ends the pause of every replica that hears of it. One that has not
-    /// heard is resumed only once the old leader is known to lead no more: until then it
-    /// could receive from it, and so let it acknowledge commits.
+    /// A promotion ends the pause of every replica that learns of it. One that has not learned of
+    /// it is resumed only once the old leader is known not to be primary any more: until then, the
+    /// replica could receive its log, and so let it acknowledge commits.
     pub(super) fn settle_others(&self, target: &MemberId) {
         let this = self.clone();
         let target = target.clone();
         tokio::spawn(async move {
-            for _ in 0..SETTLING_ROUNDS {
-                if this.duty.check().is_none() || this.settle_once(&target).await {
+            for _ in 0..MAX_SETTLING_ROUNDS {
+                if this.lease.check().is_none() || this.settle_once(&target).await {
                     return;
                 }
                 sleep(SETTLING_PAUSE).await;
@@ -33,45 +33,47 @@
         });
     }
 
-    /// Returns whether nothing is left to do.
+    /// Checks the members once and sends the commands they need. Returns whether all is done.
     async fn settle_once(&self, target: &MemberId) -> bool {
-        let patience = Patience::WHOLE;
-        let asked = survey::survey(&self.engine, &self.group, |_| Control::Status, patience).await;
-        let leader = asked.iter().find(|known| known.member.id == *target);
+        let stragglers = StragglerPolicy::WAIT_FOR_ALL;
+        let surveyed =
+            survey::survey(&self.engine, &self.group, |_| Control::Status, stragglers).await;
+        let leader = surveyed.iter().find(|known| known.member.id == *target);
         let Some(leader) = leader.and_then(|known| known.response.report()) else {
             return false;
         };
-        let others = || asked.iter().filter(|known| known.member.id != *target);
-        let mut settled = true;
+        let others = || surveyed.iter().filter(|known| known.member.id != *target);
+        let mut is_settled = true;
         for known in others() {
             let report = known.response.report();
             if report.is_some_and(|report| report.role == Role::Primary) {
-                settled = false;
-                self.give(&known.member, Control::Demote(leader.term)).await;
+                is_settled = false;
+                self.send_control(&known.member, Control::Demote(leader.term))
+                    .await;
             }
         }
-        let unknown = others().any(|known| matches!(known.response, Response::Silent(_)));
-        if !settled || unknown {
+        let has_unknown = others().any(|known| matches!(known.response, Response::Silent(_)));
+        if !is_settled || has_unknown {
             return false;
         }
         for known in others() {
             let report = known.response.report();
             if report.is_some_and(|report| report.paused_for > 0) {
-                self.give(&known.member, Control::Resume).await;
+                self.send_control(&known.member, Control::Resume).await;
             }
         }
         true
     }
 
-    /// Gives an order after the promotion, if the lease is still held.
-    async fn give(&self, member: &Arc<Member>, control: Control) {
+    /// Sends a command after the promotion, if the lease is still held.
+    async fn send_control(&self, member: &Arc<Member>, control: Control) {
         let (Some(term), true) = (
             self.engine.terms().known(&self.group),
-            self.duty.check().is_some(),
+            self.lease.check().is_some(),
         ) else {
             return;
         };
-        let response = survey::order(&self.engine, member, control).await;
-        self.tell_response(&term.record, "settle", &member.id, &response);
+        let response = survey::send_control(&self.engine, member, control).await;
+        self.emit_response(&term.record, "settle", &member.id, &response);
     }
 }
--- a/crates/engine/src/rate/shard_lease.rs
+++ b/crates/engine/src/rate/shard_lease.rs
@@ -5,7 +5,7 @@
 use crate::engine::{Engine, StopPhase};
 use crate::events::Event;
 use crate::leadership::fleet;
-use crate::leadership::lease_records::RecordLeases;
+use crate::leadership::lease_records::RecordLeaseStore;
 use crate::link::{Link, SUSPECT_AFTER};
 use futures::future::join_all;
 use std::sync::Arc;
@@ -94,11 +94,11 @@
         NodeId::new(&*engine.settings().node),
         Incarnation(rand::random()),
         LEASE_SETTINGS,
-        Arc::new(RecordLeases::new(Arc::clone(engine.lease_records()))),
+        Arc::new(RecordLeaseStore::new(Arc::clone(engine.lease_records()))),
         Arc::new(CounterClock(Arc::clone(engine))),
     )
     .reclaiming_earlier_lives();
-    engine.terms().until_read().await;
+    engine.terms().wait_until_read().await;
     if !fleet::is_registered(engine) {
         sleep(FIRST_START_PAUSE).await;
     }
--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -7,7 +7,7 @@
 use crate::home::unit::Unit;
 use crate::leadership::access::renew_evidence;
 use crate::leadership::freshness;
-use crate::leadership::vouching;
+use crate::leadership::term_confirmation;
 use crate::link::frame::{
     FromHome, HomeOutcome, RunRequest, ToHome, UnitId, Wanted, decode, encode, encode_in_parts,
 };
@@ -136,11 +136,11 @@
             }
             Some(ToHome::PromotionLease(record)) => {
                 task.engine
-                    .promotion_lease_told()
+                    .announced_promotion_lease()
                     .send_replace(Some(*record));
             }
             Some(ToHome::AskNewestTerm { exchange }) => {
-                let version = vouching::newest_term(&task.engine);
+                let version = term_confirmation::newest_term(&task.engine);
                 task.send(&FromHome::NewestTerm { exchange, version }).await;
             }
             Some(ToHome::Ping) => task.send(&FromHome::Pong).await,
@@ -254,7 +254,7 @@
         if !is_recent(group.evidence(), MAX_EVIDENCE_AGE) {
             match wanted {
                 Wanted::StoreEvidence => {
-                    if !vouching::renew(&self.engine, group).await {
+                    if !term_confirmation::renew(&self.engine, group).await {
                         // A failure is told by the task that follows the records.
                         let _ = self.engine.terms().refresh(&self.engine, group, now).await;
                     }
