--- a/crates/engine/src/home/remote.rs
+++ b/crates/engine/src/home/remote.rs
@@ -6,8 +6,8 @@
 use crate::link::frame::{HomeCommand, HomeOutcome, NotSent, RunRequest, UnitId};
 use crate::names::TenantName;
 use crate::ports::{
-    Admission, Answer, BackEnd, BackEndConnection, Command, ConnectError, Control, LinkError,
-    MemberReport, Refusal, RefusalKind,
+    Admission, Answer, BackEnd, BackEndConnection, BackEndConnectionError, Command, ConnectError,
+    Control, MemberReport, Refusal, RefusalKind,
 };
 use crate::residency::{Allowed, Residency};
 use crate::statement::{PreparedStatement, TransactionState};
@@ -69,11 +69,11 @@
 
 #[async_trait]
 impl BackEndConnection for DirectConnection {
-    async fn run(&mut self, command: &Command) -> Result<Answer, LinkError> {
+    async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError> {
         self.connection.run(command).await
     }
 
-    async fn control(&mut self, control: Control) -> Result<MemberReport, LinkError> {
+    async fn control(&mut self, control: Control) -> Result<MemberReport, BackEndConnectionError> {
         self.connection.control(control).await
     }
 
@@ -206,21 +206,24 @@
     }
 
     /// Has a command run at the home, in the unit that is open there or in one that begins.
-    async fn forward(&mut self, command: HomeCommand) -> Result<HomeOutcome, LinkError> {
+    async fn forward(
+        &mut self,
+        command: HomeCommand,
+    ) -> Result<HomeOutcome, BackEndConnectionError> {
         let ended = "the link to the home has ended";
         let begins = self.unit.is_none();
         let unit = self.unit.unwrap_or_else(|| self.link().begin_unit());
         let Some(answer) = self.link().run(self.request(unit, command)) else {
             return match begins {
                 true => Ok(HomeOutcome::NotSent(NotSent::Unreachable(ended.to_owned()))),
-                false => Err(LinkError::Closed(ended.to_owned())),
+                false => Err(BackEndConnectionError::Closed(ended.to_owned())),
             };
         };
         // From here on a call that is dropped leaves the unit to be closed.
         self.unit = Some(unit);
         metrics::counter!("stilequay_home_forwarded_total").increment(1);
         let outcome = answer.await;
-        outcome.map_err(|_| LinkError::Closed("the link to the home ended".to_owned()))
+        outcome.map_err(|_| BackEndConnectionError::Closed("the link to the home ended".to_owned()))
     }
 
     /// Leaves a home that runs nothing at the member; returns whether there is another.
@@ -238,7 +241,7 @@
     }
 
     /// Takes what came of a command that was sent.
-    fn take(&mut self, outcome: HomeOutcome) -> Result<Answer, LinkError> {
+    fn take(&mut self, outcome: HomeOutcome) -> Result<Answer, BackEndConnectionError> {
         match outcome {
             HomeOutcome::Answered(answer) => {
                 self.state = answer.state;
@@ -251,7 +254,7 @@
                 self.unit = None;
                 Ok(self.not_sent(reason))
             }
-            HomeOutcome::Lost(reason) => Err(LinkError::Closed(reason)),
+            HomeOutcome::Lost(reason) => Err(BackEndConnectionError::Closed(reason)),
         }
     }
 
@@ -310,7 +313,7 @@
 
 #[async_trait]
 impl BackEndConnection for RemoteConnection {
-    async fn run(&mut self, command: &Command) -> Result<Answer, LinkError> {
+    async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError> {
         let command = match self.plan(command) {
             Plan::Forward(command) => command,
             Plan::Answer(answer) => return Ok(answer),
@@ -335,8 +338,8 @@
         self.take(outcome)
     }
 
-    async fn control(&mut self, _: Control) -> Result<MemberReport, LinkError> {
-        Err(LinkError::Refused(
+    async fn control(&mut self, _: Control) -> Result<MemberReport, BackEndConnectionError> {
+        Err(BackEndConnectionError::Refused(
             "orders do not go through homes".to_owned(),
         ))
     }
--- a/crates/engine/src/leadership/survey.rs
+++ b/crates/engine/src/leadership/survey.rs
@@ -4,7 +4,7 @@
 use crate::engine::Engine;
 use crate::names::GroupName;
 use crate::pool::{AcquireError, OrderError};
-use crate::ports::{ConnectError, Control, LinkError, MemberReport};
+use crate::ports::{BackEndConnectionError, ConnectError, Control, MemberReport};
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use std::sync::Arc;
@@ -170,7 +170,7 @@
         | OrderError::Acquire(
             AcquireError::Exhausted | AcquireError::Shed(_) | AcquireError::SlowStart(_),
         )
-        | OrderError::Link(LinkError::Refused(_)) => Response::Declined(reason),
+        | OrderError::Link(BackEndConnectionError::Refused(_)) => Response::Declined(reason),
         _ => Response::Silent(reason),
     }
 }
--- a/crates/engine/src/pool/connection.rs
+++ b/crates/engine/src/pool/connection.rs
@@ -4,7 +4,8 @@
 use super::set::PoolConnection;
 use crate::names::{DatabaseName, RequestId, TenantName};
 use crate::ports::{
-    Admission, Answer, BackEndConnection, Command, Control, LinkError, MemberReport, RefusalKind,
+    Admission, Answer, BackEndConnection, BackEndConnectionError, Command, Control, MemberReport,
+    RefusalKind,
 };
 use crate::position::LogPosition;
 use crate::statement::{Access, PreparedStatement, TransactionState};
@@ -49,11 +50,11 @@
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum RunError {
         /// The connection failed before the work was sent. Not run.
-        Before(error: LinkError) {
+        Before(error: BackEndConnectionError) {
             display("before the statement was sent: {error}")
         }
         /// The connection failed after the work was sent. It may have run.
-        After(error: LinkError) {
+        After(error: BackEndConnectionError) {
             display("after the statement was sent: {error}")
         }
     }
@@ -142,8 +143,11 @@
     ///
     /// # Errors
     ///
-    /// [`LinkError`] where the member did not do so: nothing of a session may run here.
-    pub async fn put_values(&mut self, values: &SessionValues) -> Result<(), LinkError> {
+    /// [`BackEndConnectionError`] where the member did not do so: nothing of a session may run here.
+    pub async fn put_values(
+        &mut self,
+        values: &SessionValues,
+    ) -> Result<(), BackEndConnectionError> {
         let established = self.established()?;
         if established.has_values(values) {
             return Ok(());
@@ -171,9 +175,9 @@
     ///
     /// # Errors
     ///
-    /// [`LinkError`] where the answer was not complete: the connection is not used again.
+    /// [`BackEndConnectionError`] where the answer was not complete: the connection is not used again.
     /// Also where nothing may be sent to the member.
-    pub async fn run(&mut self, command: &Command) -> Result<Answer, LinkError> {
+    pub async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError> {
         self.check_sending()?;
         self.pool.gate().count_sent();
         let sent = Instant::now();
@@ -197,17 +201,20 @@
         result
     }
 
-    fn check_sending(&self) -> Result<(), LinkError> {
+    fn check_sending(&self) -> Result<(), BackEndConnectionError> {
         let checked = self.pool.check_sending();
-        checked.map_err(|error| LinkError::Refused(error.to_string()))
+        checked.map_err(|error| BackEndConnectionError::Refused(error.to_string()))
     }
 
     /// Carries out an order about replication.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] where there was no report: the connection is not used again.
-    pub async fn control(&mut self, control: Control) -> Result<MemberReport, LinkError> {
+    /// [`BackEndConnectionError`] where there was no report: the connection is not used again.
+    pub async fn control(
+        &mut self,
+        control: Control,
+    ) -> Result<MemberReport, BackEndConnectionError> {
         self.clean = false;
         let report = self.established()?.connection.control(control).await?;
         self.clean = true;
@@ -275,7 +282,10 @@
     }
 
     /// The name of `prepared` on this connection.
-    async fn prepare(&mut self, prepared: &PreparedStatement) -> Result<Bytes, LinkError> {
+    async fn prepare(
+        &mut self,
+        prepared: &PreparedStatement,
+    ) -> Result<Bytes, BackEndConnectionError> {
         let name = connection_name(prepared);
         let known = &mut self.established()?.prepared;
         if known.contains(&name) {
@@ -294,14 +304,14 @@
     }
 
     /// Runs a command of the engine's own that has to succeed.
-    async fn complete(&mut self, command: &Command) -> Result<(), LinkError> {
+    async fn complete(&mut self, command: &Command) -> Result<(), BackEndConnectionError> {
         let answer = self.run(command).await?;
         match answer.outcome {
             Ok(_) => Ok(()),
             Err(refusal) => {
                 self.clean = false;
                 let text = String::from_utf8_lossy(&refusal.code).into_owned();
-                Err(LinkError::Refused(text))
+                Err(BackEndConnectionError::Refused(text))
             }
         }
     }
@@ -321,8 +331,8 @@
         });
     }
 
-    fn established(&mut self) -> Result<&mut Established, LinkError> {
-        let given_back = || LinkError::Closed("given back".to_owned());
+    fn established(&mut self) -> Result<&mut Established, BackEndConnectionError> {
+        let given_back = || BackEndConnectionError::Closed("given back".to_owned());
         self.established.as_mut().ok_or_else(given_back)
     }
 }
--- a/crates/engine/src/pool/error.rs
+++ b/crates/engine/src/pool/error.rs
@@ -1,7 +1,7 @@
 //! Why a connection could not be had, or an order not be given.
 
 use crate::evacuation::MayNotSend;
-use crate::ports::{ConnectError, LinkError};
+use crate::ports::{BackEndConnectionError, ConnectError};
 use quick_error::quick_error;
 use std::time::Duration;
 
@@ -55,7 +55,7 @@
             from()
         }
         /// There was no answer, or a refusal.
-        Link(error: LinkError) {
+        Link(error: BackEndConnectionError) {
             display("{error}")
             from()
         }
--- a/crates/engine/src/ports/back_end.rs
+++ b/crates/engine/src/ports/back_end.rs
@@ -184,7 +184,7 @@
 quick_error! {
     /// A connection ended, or said what makes no sense, before the answer was complete.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum LinkError {
+    pub enum BackEndConnectionError {
         /// It ended.
         Closed(reason: String) {
             display("closed: {reason}")
@@ -242,9 +242,9 @@
 #[async_trait]
 pub trait BackEndConnection: Debug + Send + Sync + 'static {
     /// Runs one command and reads its answer to the end.
-    async fn run(&mut self, command: &Command) -> Result<Answer, LinkError>;
+    async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError>;
     /// Carries out an order about replication.
-    async fn control(&mut self, control: Control) -> Result<MemberReport, LinkError>;
+    async fn control(&mut self, control: Control) -> Result<MemberReport, BackEndConnectionError>;
     /// Whether the far end has neither closed it nor said anything unasked.
     fn is_open(&mut self) -> bool;
     /// Takes for whom it is used next. A connection of this process's own needs not know.
--- a/crates/engine/src/ports/mod.rs
+++ b/crates/engine/src/ports/mod.rs
@@ -6,8 +6,8 @@
 mod record_store;
 
 pub use back_end::{
-    Admission, Answer, BackEnd, BackEndConnection, Command, ConnectError, Control, LinkError,
-    MemberReport, Refusal, RefusalKind,
+    Admission, Answer, BackEnd, BackEndConnection, BackEndConnectionError, Command, ConnectError,
+    Control, MemberReport, Refusal, RefusalKind,
 };
 pub use peers::{
     CoveringBelief, DeclaredConfiguration, DeclaredDeparture, DeclaredDirectory, DeclaredExtent,
--- a/crates/engine/src/slow_start/guard.rs
+++ b/crates/engine/src/slow_start/guard.rs
@@ -10,8 +10,8 @@
 use crate::evacuation::Sender;
 use crate::names::{MemberId, TenantName, ZoneName};
 use crate::ports::{
-    Admission, Answer, BackEnd, BackEndConnection, Command, ConnectError, Control, LinkError,
-    MemberReport, Refusal, RefusalKind,
+    Admission, Answer, BackEnd, BackEndConnection, BackEndConnectionError, Command, ConnectError,
+    Control, MemberReport, Refusal, RefusalKind,
 };
 use crate::statement::TransactionState;
 use async_trait::async_trait;
@@ -115,7 +115,7 @@
 
 #[async_trait]
 impl BackEndConnection for GuardedConnection {
-    async fn run(&mut self, command: &Command) -> Result<Answer, LinkError> {
+    async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError> {
         if counts(command)
             && let Err(retry_after) = self.count().await
         {
@@ -126,7 +126,7 @@
         Ok(answer)
     }
 
-    async fn control(&mut self, control: Control) -> Result<MemberReport, LinkError> {
+    async fn control(&mut self, control: Control) -> Result<MemberReport, BackEndConnectionError> {
         if control == Control::Status
             && let Some(engine) = self.counting_engine()
         {
--- a/crates/engine/tests/support/servers/connection.rs
+++ b/crates/engine/tests/support/servers/connection.rs
@@ -11,8 +11,8 @@
 use stilequay_engine::directory::{Member, Role};
 use stilequay_engine::names::{TenantName, server_of};
 use stilequay_engine::ports::{
-    Answer, BackEnd, BackEndConnection, Command, ConnectError, Control, LinkError, MemberReport,
-    Refusal, RefusalKind,
+    Answer, BackEnd, BackEndConnection, BackEndConnectionError, Command, ConnectError, Control,
+    MemberReport, Refusal, RefusalKind,
 };
 use stilequay_engine::position::LogPosition;
 use stilequay_engine::statement::TransactionState;
@@ -114,14 +114,16 @@
 
 impl WorldConnection {
     /// The server as it answers; never resolves where it says nothing.
-    async fn reach(&self) -> Result<Glimpse, LinkError> {
+    async fn reach(&self) -> Result<Glimpse, BackEndConnectionError> {
         let server = self.world.glimpse(&self.server);
         let is_silent = self.generation != self.world.generation.load(Ordering::Relaxed);
         if is_silent || server.dark || !self.world.network.reaches(&self.node, &self.server) {
             pending::<()>().await;
         }
         if !server.running || server.born != self.life {
-            return Err(LinkError::Closed("the server is gone".to_owned()));
+            return Err(BackEndConnectionError::Closed(
+                "the server is gone".to_owned(),
+            ));
         }
         Ok(server)
     }
@@ -173,7 +175,7 @@
         })
     }
 
-    async fn run_text(&mut self, id: &str, text: &[u8]) -> Result<Answer, LinkError> {
+    async fn run_text(&mut self, id: &str, text: &[u8]) -> Result<Answer, BackEndConnectionError> {
         let server = self.reach().await?;
         let place = enter(&self.world, &self.server).await;
         let Some(place) = place.filter(|_| !server.busy) else {
@@ -227,7 +229,11 @@
     }
 
     /// Appends entries and waits until a replica has received them.
-    async fn commit_entries(&mut self, ids: Vec<String>, id: &str) -> Result<Answer, LinkError> {
+    async fn commit_entries(
+        &mut self,
+        ids: Vec<String>,
+        id: &str,
+    ) -> Result<Answer, BackEndConnectionError> {
         let written = !ids.is_empty();
         self.world.change(&self.server, |server| {
             let term = server.term;
@@ -238,12 +244,14 @@
             sleep(Duration::from_millis(5)).await;
             let server = self.reach().await?;
             if server.role != Role::Primary {
-                return Err(LinkError::Closed("it leads no more".to_owned()));
+                return Err(BackEndConnectionError::Closed(
+                    "it leads no more".to_owned(),
+                ));
             }
         }
         let server = self.reach().await?;
         if server.breaks_off {
-            return Err(LinkError::Closed("broken off".to_owned()));
+            return Err(BackEndConnectionError::Closed("broken off".to_owned()));
         }
         if server.loses_answers {
             pending::<()>().await;
@@ -254,13 +262,13 @@
 
 #[async_trait]
 impl BackEndConnection for WorldConnection {
-    async fn run(&mut self, command: &Command) -> Result<Answer, LinkError> {
+    async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError> {
         let answer = self.run_at_server(command).await;
         self.world.freezer.pass(&self.node).await;
         answer
     }
 
-    async fn control(&mut self, control: Control) -> Result<MemberReport, LinkError> {
+    async fn control(&mut self, control: Control) -> Result<MemberReport, BackEndConnectionError> {
         let report = self.control_server(control).await;
         self.world.freezer.pass(&self.node).await;
         report
@@ -273,7 +281,7 @@
 }
 
 impl WorldConnection {
-    async fn run_at_server(&mut self, command: &Command) -> Result<Answer, LinkError> {
+    async fn run_at_server(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError> {
         sleep(ROUND_TRIP).await;
         let server = self.reach().await?;
         let arrived = Some(Instant::now());
@@ -351,13 +359,18 @@
         }
     }
 
-    async fn control_server(&mut self, control: Control) -> Result<MemberReport, LinkError> {
+    async fn control_server(
+        &mut self,
+        control: Control,
+    ) -> Result<MemberReport, BackEndConnectionError> {
         sleep(ROUND_TRIP).await;
         let server = self.reach().await?;
         if server.busy {
-            return Err(LinkError::Refused("its queue is full".to_owned()));
+            return Err(BackEndConnectionError::Refused(
+                "its queue is full".to_owned(),
+            ));
         }
-        let refused = || LinkError::Refused("no such order".to_owned());
+        let refused = || BackEndConnectionError::Refused("no such order".to_owned());
         match control {
             Control::Status => {}
             Control::Pause(term) if term > server.term => {
