--- a/crates/engine/src/directory.rs
+++ b/crates/engine/src/directory.rs
@@ -1,6 +1,6 @@
 //! The directory of members: which servers there are, as of when.
 
-use crate::names::{GroupName, MemberId, ZoneName, are_lives_of_one};
+use crate::names::{GroupName, MemberId, ZoneName, are_incarnations_of_same_server};
 use crate::version::{StoreVersion, era_of};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -195,7 +195,7 @@
         let id = known.map(|member| &member.id);
         let successor = self.members.values().find(|member| {
             let in_place = Some(member.address) == address && &*member.group == group;
-            let has_log = id.is_none_or(|id| !are_lives_of_one(id, &member.id));
+            let has_log = id.is_none_or(|id| !are_incarnations_of_same_server(id, &member.id));
             in_place && has_log && member.role == Role::Primary && member.has_entry()
         });
         successor.or(known)
@@ -206,7 +206,9 @@
     pub fn has_ended(&self, member: &Member) -> bool {
         let group = self.groups.get(&member.group);
         let mut others = group.into_iter().flatten();
-        others.any(|other| other.has_entry() && are_lives_of_one(&member.id, &other.id))
+        others.any(|other| {
+            other.has_entry() && are_incarnations_of_same_server(&member.id, &other.id)
+        })
     }
 
     /// All members.
--- a/crates/engine/src/leadership/choice.rs
+++ b/crates/engine/src/leadership/choice.rs
@@ -9,7 +9,7 @@
 use super::survey::{Response, Surveyed};
 use crate::directory::{Member, Role};
 use crate::evacuation::Evacuations;
-use crate::names::{MemberId, are_lives_of_one};
+use crate::names::{MemberId, are_incarnations_of_same_server};
 use crate::position::{LogPosition, Term};
 use crate::topology::Topology;
 use std::collections::HashSet;
@@ -48,7 +48,7 @@
     /// Whether `member` is a later life of the old leader's server.
     fn has_ended(&self, member: &Member) -> bool {
         let id = self.id.as_ref();
-        id.is_some_and(|id| are_lives_of_one(id, &member.id))
+        id.is_some_and(|id| are_incarnations_of_same_server(id, &member.id))
     }
 }
 
--- a/crates/engine/src/leadership/freshness.rs
+++ b/crates/engine/src/leadership/freshness.rs
@@ -6,7 +6,7 @@
 use crate::evacuation::Sender;
 use crate::group::Group;
 use crate::home;
-use crate::names::are_lives_of_one;
+use crate::names::are_incarnations_of_same_server;
 use crate::peers;
 use crate::pool::Claim;
 use crate::ports::{Command, Control};
@@ -97,7 +97,7 @@
 fn is_succeeded(member: &Surveyed, members: &[Surveyed]) -> bool {
     let in_place = |other: &Surveyed| {
         let is_other = other.member.id != member.member.id
-            && !are_lives_of_one(&other.member.id, &member.member.id);
+            && !are_incarnations_of_same_server(&other.member.id, &member.member.id);
         is_other && other.member.address == member.member.address
     };
     member.member.is_gone() && members.iter().any(in_place)
--- a/crates/engine/src/names.rs
+++ b/crates/engine/src/names.rs
@@ -20,27 +20,29 @@
 pub type RequestId = Arc<str>;
 
 /// Stands between a server's name and the start of one of its lives.
-const LIFE_SEPARATOR: char = '@';
+const INCARNATION_SEPARATOR: char = '@';
 
-/// The life of `server` that began at `born`, in whatever unit: any other start is another life.
+/// The life of `server` that began at `started_at`, in whatever unit: any other start is another life.
 /// A server that tells no start has another name in each life.
-pub fn life_of(server: &str, born: Option<u64>) -> MemberId {
-    match born {
-        Some(born) => format!("{server}{LIFE_SEPARATOR}{born}").into(),
+pub fn incarnation_id(server: &str, started_at: Option<u64>) -> MemberId {
+    match started_at {
+        Some(started_at) => format!("{server}{INCARNATION_SEPARATOR}{started_at}").into(),
         // So that no name is taken for one with a start.
-        None if server.contains(LIFE_SEPARATOR) => format!("{server}{LIFE_SEPARATOR}").into(),
+        None if server.contains(INCARNATION_SEPARATOR) => {
+            format!("{server}{INCARNATION_SEPARATOR}").into()
+        }
         None => server.into(),
     }
 }
 
 /// The server that `member` is a life of.
-pub fn server_of(member: &str) -> &str {
+pub fn server_name(member: &str) -> &str {
     member
-        .rsplit_once(LIFE_SEPARATOR)
+        .rsplit_once(INCARNATION_SEPARATOR)
         .map_or(member, |(server, _born)| server)
 }
 
 /// Whether both are lives of one server, which keeps nothing from one to the next.
-pub fn are_lives_of_one(member: &MemberId, other: &MemberId) -> bool {
-    member != other && server_of(member) == server_of(other)
+pub fn are_incarnations_of_same_server(member: &MemberId, other: &MemberId) -> bool {
+    member != other && server_name(member) == server_name(other)
 }
--- a/crates/engine/src/version.rs
+++ b/crates/engine/src/version.rs
@@ -13,13 +13,13 @@
 /// Bits of the number within an era: 2^48 transactions.
 const NUMBER_BITS: u32 = 48;
 /// The greatest number within an era.
-const GREATEST_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
+const MAX_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
 /// The greatest era that a version can hold.
-const GREATEST_ERA: StoreEra = u64::MAX >> NUMBER_BITS;
+const MAX_ERA: StoreEra = u64::MAX >> NUMBER_BITS;
 
 /// The version that the store calls `number` in `era`.
 pub fn version(era: StoreEra, number: u64) -> StoreVersion {
-    (era.min(GREATEST_ERA) << NUMBER_BITS) | number.min(GREATEST_NUMBER)
+    (era.min(MAX_ERA) << NUMBER_BITS) | number.min(MAX_NUMBER)
 }
 
 /// The era in which `version` was given out.
@@ -29,5 +29,5 @@
 
 /// What the store itself calls `version`.
 pub fn number_of(version: StoreVersion) -> u64 {
-    version & GREATEST_NUMBER
+    version & MAX_NUMBER
 }
--- a/crates/engine/tests/server_lives.rs
+++ b/crates/engine/tests/server_lives.rs
@@ -6,7 +6,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 use stilequay_engine::directory::{Departure, Directory, DirectoryChange, MemberState, Role};
-use stilequay_engine::names::{MemberId, are_lives_of_one, life_of, server_of};
+use stilequay_engine::names::{
+    MemberId, are_incarnations_of_same_server, incarnation_id, server_name,
+};
 use support::history::History;
 use support::servers::World;
 use support::{Fleet, GROUP, LEADER_DATABASE, seen, until};
@@ -18,17 +20,17 @@
 #[case::like_one_with_a_start("s-1@17", None, "s-1@17@")]
 #[case::like_one_and_with_a_start("s-1@17", Some(4), "s-1@17@4")]
 fn a_life_names_its_server(#[case] server: &str, #[case] born: Option<u64>, #[case] life: &str) {
-    assert_eq!(&*life_of(server, born), life);
-    assert_eq!(server_of(life), server);
+    assert_eq!(&*incarnation_id(server, born), life);
+    assert_eq!(server_name(life), server);
 }
 
 #[test]
 fn only_other_lives_of_the_same_server_are_told_apart() {
     let id = |text: &str| MemberId::from(text);
-    assert!(are_lives_of_one(&id("s@1"), &id("s@2")));
-    assert!(are_lives_of_one(&id("s@2"), &id("s")));
-    assert!(!are_lives_of_one(&id("s@1"), &id("s@1")));
-    assert!(!are_lives_of_one(&id("s@1"), &id("t@2")));
+    assert!(are_incarnations_of_same_server(&id("s@1"), &id("s@2")));
+    assert!(are_incarnations_of_same_server(&id("s@2"), &id("s")));
+    assert!(!are_incarnations_of_same_server(&id("s@1"), &id("s@1")));
+    assert!(!are_incarnations_of_same_server(&id("s@1"), &id("t@2")));
 }
 
 fn known(world: &World) -> Directory {
--- a/crates/engine/tests/support/servers/connection.rs
+++ b/crates/engine/tests/support/servers/connection.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use stilequay_engine::directory::{Member, Role};
-use stilequay_engine::names::{TenantName, server_of};
+use stilequay_engine::names::{TenantName, server_name};
 use stilequay_engine::ports::{
     Answer, BackEnd, BackEndConnection, BackEndConnectionError, Command, ConnectError, Control,
     MemberReport, Refusal, RefusalKind,
@@ -43,7 +43,7 @@
     ) -> Result<Box<dyn BackEndConnection>, ConnectError> {
         sleep(ROUND_TRIP).await;
         // Servers are called by their names only: the next life answers for the one before.
-        let name = server_of(&member.id);
+        let name = server_name(&member.id);
         let server = self.world.glimpse(name);
         if server.dark || !self.world.network.reaches(&self.node, name) {
             pending::<()>().await;
--- a/crates/engine/tests/support/servers/promoter.rs
+++ b/crates/engine/tests/support/servers/promoter.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use stilequay_engine::directory::Role;
-use stilequay_engine::names::server_of;
+use stilequay_engine::names::server_name;
 use stilequay_engine::ports::{PromoteError, Promoter, PromotionOrder};
 use tokio::time::sleep;
 
@@ -23,7 +23,7 @@
     async fn promote(&self, order: &PromotionOrder) -> Result<(), PromoteError> {
         sleep(ROUND_TRIP).await;
         self.world.promotions.lock().unwrap().push(order.clone());
-        let target = server_of(&order.target).to_owned();
+        let target = server_name(&order.target).to_owned();
         let server = self.world.glimpse(&target);
         if !server.running {
             return Err(PromoteError::TargetDown);
--- a/crates/engine/tests/support/servers/world.rs
+++ b/crates/engine/tests/support/servers/world.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 use stilequay_engine::directory::{Member, MemberState, Role};
-use stilequay_engine::names::{TenantName, life_of};
+use stilequay_engine::names::{TenantName, incarnation_id};
 use stilequay_engine::ports::PromotionOrder;
 use tokio::time::{Instant, sleep};
 
@@ -221,7 +221,7 @@
         let hidden = self.hidden.lock().unwrap();
         let listed = servers.iter().filter(|(name, _)| !hidden.contains(*name));
         let listed = listed.map(|(name, server)| Member {
-            id: life_of(name, server.born),
+            id: incarnation_id(name, server.born),
             group: Arc::from(crate::support::GROUP),
             address: address_of(name),
             zone: Arc::from(format!("zone-{name}").as_str()),
