--- a/crates/engine/src/events.rs
+++ b/crates/engine/src/events.rs
@@ -262,7 +262,7 @@
     /// A request that failed or was late, or a session that was refused.
     Failure,
     /// Everything else.
-    Belief,
+    StateChange,
 }
 
 impl Event {
@@ -277,7 +277,7 @@
             Event::SessionRefused { .. }
             | Event::AnswerUndelivered { .. }
             | Event::Forwarded { .. } => EventClass::Failure,
-            _ => EventClass::Belief,
+            _ => EventClass::StateChange,
         }
     }
 }
@@ -287,7 +287,7 @@
     match class {
         EventClass::Success => 2.0,
         EventClass::Failure => 100.0,
-        EventClass::Belief => 60.0,
+        EventClass::StateChange => 60.0,
     }
 }
 
@@ -351,7 +351,11 @@
 impl Default for EventLog {
     fn default() -> Self {
         let now = Instant::now();
-        let classes = [EventClass::Success, EventClass::Failure, EventClass::Belief];
+        let classes = [
+            EventClass::Success,
+            EventClass::Failure,
+            EventClass::StateChange,
+        ];
         Self {
             node: None,
             budgets: Mutex::new(classes.map(|class| ClassBudget::new(class, now))),
@@ -407,7 +411,7 @@
 fn level(class: EventClass) -> Level {
     match class {
         EventClass::Failure => Level::Warn,
-        EventClass::Success | EventClass::Belief => Level::Info,
+        EventClass::Success | EventClass::StateChange => Level::Info,
     }
 }
 
--- a/crates/engine/src/home/mod.rs
+++ b/crates/engine/src/home/mod.rs
@@ -33,7 +33,7 @@
 use crate::link::frame::Wanted;
 use crate::names::{GroupName, RegionName};
 use crate::peers;
-use crate::ports::GroupBelief;
+use crate::ports::GroupSnapshot;
 use crate::residency::Residency;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -120,7 +120,7 @@
     true
 }
 
-fn take(engine: &Engine, beliefs: Vec<GroupBelief>, asked: Instant) {
+fn take(engine: &Engine, beliefs: Vec<GroupSnapshot>, asked: Instant) {
     metrics::counter!("stilequay_peer_answers_total").increment(1);
     beliefs
         .into_iter()
--- a/crates/engine/src/link/client.rs
+++ b/crates/engine/src/link/client.rs
@@ -5,7 +5,7 @@
     decode, encode,
 };
 use crate::names::{GroupName, TenantName};
-use crate::ports::{GroupBelief, PeerLink};
+use crate::ports::{GroupSnapshot, PeerLink};
 use crate::rate::counter::{Draw, Shard};
 use crate::version::StoreVersion;
 use bytes::Bytes;
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 enum Waiter {
     Run(oneshot::Sender<HomeOutcome>),
-    Ask(oneshot::Sender<Vec<GroupBelief>>),
+    Ask(oneshot::Sender<Vec<GroupSnapshot>>),
     Follow(oneshot::Sender<News>),
     Draw(oneshot::Sender<Draw>),
     NewestTerm(oneshot::Sender<Option<StoreVersion>>),
@@ -221,7 +221,7 @@
     }
 
     /// Asks what is believed of `group`; `None` where the link ends first.
-    pub async fn ask(&self, group: &GroupName, wanted: Wanted) -> Option<Vec<GroupBelief>> {
+    pub async fn ask(&self, group: &GroupName, wanted: Wanted) -> Option<Vec<GroupSnapshot>> {
         let (tx, rx) = oneshot::channel();
         let exchange = self.register(Waiter::Ask(tx));
         let question = ToHome::Ask {
--- a/crates/engine/src/link/frame.rs
+++ b/crates/engine/src/link/frame.rs
@@ -2,7 +2,7 @@
 
 use crate::encoding;
 use crate::names::{DatabaseName, GroupName, MemberId, RequestId, TenantName};
-use crate::ports::{Answer, DeclaredState, DeclaredVersions, GroupBelief, Record};
+use crate::ports::{Answer, DeclaredState, DeclaredVersions, GroupSnapshot, Record};
 use crate::position::LogPosition;
 use crate::rate::counter::{Draw, Shard};
 use crate::statement::{Access, PreparedStatement};
@@ -220,7 +220,7 @@
         /// The question.
         exchange: ExchangeId,
         /// The beliefs; none where the group is not known.
-        beliefs: Vec<GroupBelief>,
+        beliefs: Vec<GroupSnapshot>,
     },
     /// What is newer.
     News {
--- a/crates/engine/src/peers/mod.rs
+++ b/crates/engine/src/peers/mod.rs
@@ -15,7 +15,7 @@
 use crate::leadership::fleet;
 use crate::leadership::follower::VersionedTerm;
 use crate::names::GroupName;
-use crate::ports::{CoveringBelief, GroupBelief, LeaderBelief, TermBelief};
+use crate::ports::{CoveringSnapshot, GroupSnapshot, LeaderSnapshot, TermSnapshot};
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use rand::seq::IndexedRandom;
@@ -29,30 +29,30 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// What this process believes of `groups`.
-pub fn beliefs(engine: &Engine, groups: &[GroupName]) -> Vec<GroupBelief> {
-    groups.iter().map(|name| belief(engine, name)).collect()
+pub fn group_snapshots(engine: &Engine, groups: &[GroupName]) -> Vec<GroupSnapshot> {
+    groups.iter().map(|name| snapshot(engine, name)).collect()
 }
 
-fn belief(engine: &Engine, name: &GroupName) -> GroupBelief {
+fn snapshot(engine: &Engine, name: &GroupName) -> GroupSnapshot {
     let group = engine.group(name);
     let now = Instant::now();
     let age_ms = |at: Instant| millis(now.duration_since(at)) + 1;
     let view = group.view();
     let covering = group.coverings_to_tell().into_iter();
-    let covering = covering.map(|sample| CoveringBelief {
+    let covering = covering.map(|sample| CoveringSnapshot {
         position: sample.position,
         age_ms: age_ms(sample.at),
     });
-    let term = engine.terms().known(name).map(|term| TermBelief {
+    let term = engine.terms().known(name).map(|term| TermSnapshot {
         record: term.record,
         version: term.version,
     });
-    let leader = view.target().map(|member| LeaderBelief {
+    let leader = view.target().map(|member| LeaderSnapshot {
         member: member.clone(),
         confirmed: view.confirmed,
         evidence_age_ms: group.evidence().map(age_ms),
     });
-    GroupBelief {
+    GroupSnapshot {
         group: name.clone(),
         epoch: view.epoch,
         leader,
@@ -69,11 +69,13 @@
     let questions = peers.iter().map(|peer| engine.peers().ask(*peer, groups));
     let mut answers: FuturesUnordered<_> = questions.collect();
     while let Ok(Some(answer)) = timeout_at(until, answers.next()).await {
-        let Ok(beliefs) = answer else { continue };
+        let Ok(group_snapshots) = answer else {
+            continue;
+        };
         metrics::counter!("stilequay_peer_answers_total").increment(1);
-        beliefs
+        group_snapshots
             .into_iter()
-            .for_each(|belief| take(engine, belief, asked));
+            .for_each(|snapshot| take(engine, snapshot, asked));
     }
 }
 
@@ -84,20 +86,20 @@
 }
 
 /// Takes what another process believed when it was asked at `asked`.
-pub(crate) fn take(engine: &Engine, belief: GroupBelief, asked: Instant) {
-    if let Some(TermBelief { record, version }) = belief.term {
+pub(crate) fn take(engine: &Engine, snapshot: GroupSnapshot, asked: Instant) {
+    if let Some(TermSnapshot { record, version }) = snapshot.term {
         let term = VersionedTerm { record, version };
         engine.terms().apply_one(engine, term, None);
     }
-    let group = engine.group(&belief.group);
+    let group = engine.group(&snapshot.group);
     let before = |age_ms: u64| asked.checked_sub(Duration::from_millis(age_ms));
-    if let Some(LeaderBelief {
+    if let Some(LeaderSnapshot {
         member,
         confirmed,
         evidence_age_ms,
-    }) = belief.leader
+    }) = snapshot.leader
     {
-        let epoch = belief.epoch;
+        let epoch = snapshot.epoch;
         let leader = UsableLeader { member, epoch };
         if confirmed {
             group.confirm_leader(&leader);
@@ -106,9 +108,9 @@
             group.record_evidence(&leader, at);
         }
     }
-    for covering in belief.covering {
+    for covering in snapshot.covering {
         if let Some(at) = before(covering.age_ms)
-            && group.view().epoch == belief.epoch
+            && group.view().epoch == snapshot.epoch
         {
             group.record_covering_position(at, covering.position);
         }
--- a/crates/engine/src/peers/tcp.rs
+++ b/crates/engine/src/peers/tcp.rs
@@ -1,11 +1,11 @@
 //! Questions over TCP: one frame asks, one answers, and the connection ends.
 
-use super::{beliefs, declared};
+use super::{declared, group_snapshots};
 use crate::encoding;
 use crate::engine::Engine;
 use crate::names::GroupName;
 use crate::ports::{
-    DeclaredState, DeclaredVersions, GroupBelief, PeerError, PeerLink, PeerNetwork,
+    DeclaredState, DeclaredVersions, GroupSnapshot, PeerError, PeerLink, PeerNetwork,
 };
 use crate::serving;
 use async_trait::async_trait;
@@ -45,7 +45,7 @@
 /// An answer.
 #[derive(Debug, Serialize, Deserialize)]
 enum Answer {
-    Beliefs(Vec<GroupBelief>),
+    Beliefs(Vec<GroupSnapshot>),
     Declared(Box<DeclaredState>),
 }
 
@@ -83,9 +83,9 @@
         &self,
         peer: SocketAddr,
         groups: &[GroupName],
-    ) -> Result<Vec<GroupBelief>, PeerError> {
+    ) -> Result<Vec<GroupSnapshot>, PeerError> {
         match exchange(peer, &Question::Beliefs(groups.to_vec())).await? {
-            Answer::Beliefs(beliefs) => Ok(beliefs),
+            Answer::Beliefs(group_snapshots) => Ok(group_snapshots),
             Answer::Declared(_) => Err(another_answer()),
         }
     }
@@ -176,7 +176,7 @@
     let mut frames = framed(stream);
     let frame = frames.next().await?.ok()?;
     let answer = match rmp_serde::from_slice(&frame).ok()? {
-        Question::Beliefs(groups) => Answer::Beliefs(known_beliefs(engine, groups)?),
+        Question::Beliefs(groups) => Answer::Beliefs(known_group_snapshots(engine, groups)?),
         Question::Declared(versions) => {
             let newer = declared::newer(engine, versions, Instant::now());
             Answer::Declared(Box::new(newer))
@@ -190,11 +190,11 @@
 
 /// Beliefs about those of `groups` that the directory names: none is made for a question's
 /// sake.
-fn known_beliefs(engine: &Engine, groups: Vec<GroupName>) -> Option<Vec<GroupBelief>> {
+fn known_group_snapshots(engine: &Engine, groups: Vec<GroupName>) -> Option<Vec<GroupSnapshot>> {
     if groups.len() > MAX_GROUPS {
         return None;
     }
     let known = engine.directory().groups();
     let named = groups.into_iter().filter(|group| known.contains(group));
-    Some(beliefs(engine, &named.collect::<Vec<GroupName>>()))
+    Some(group_snapshots(engine, &named.collect::<Vec<GroupName>>()))
 }
--- a/crates/engine/src/ports/mod.rs
+++ b/crates/engine/src/ports/mod.rs
@@ -10,9 +10,9 @@
     Control, MemberReport, Refusal, RefusalKind,
 };
 pub use peers::{
-    CoveringBelief, DeclaredConfiguration, DeclaredDeparture, DeclaredDirectory, DeclaredExtent,
-    DeclaredMember, DeclaredState, DeclaredVersions, GroupBelief, LeaderBelief, PeerError,
-    PeerLink, PeerNetwork, TermBelief,
+    CoveringSnapshot, DeclaredConfiguration, DeclaredDeparture, DeclaredDirectory, DeclaredExtent,
+    DeclaredMember, DeclaredState, DeclaredVersions, GroupSnapshot, LeaderSnapshot, PeerError,
+    PeerLink, PeerNetwork, TermSnapshot,
 };
 pub use promoter::{PromoteError, Promoter, PromotionOrder};
 pub use record_store::{
--- a/crates/engine/src/ports/peers.rs
+++ b/crates/engine/src/ports/peers.rs
@@ -18,23 +18,23 @@
 /// What a process believes of one group. Ages are counted when the answer is made: whoever
 /// asked takes them from before the question was sent, so they only grow on the way.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GroupBelief {
+pub struct GroupSnapshot {
     /// The group.
     pub group: GroupName,
     /// The epoch of its leadership.
     pub epoch: Epoch,
     /// Its leader. `None` while one is fenced off: what is believed of that one says
     /// nothing of the next, although both belong to one epoch.
-    pub leader: Option<LeaderBelief>,
+    pub leader: Option<LeaderSnapshot>,
     /// Positions known to cover moments, and the ages of these; oldest first.
-    pub covering: Vec<CoveringBelief>,
+    pub covering: Vec<CoveringSnapshot>,
     /// The record of the leadership, if there was ever a promotion.
-    pub term: Option<TermBelief>,
+    pub term: Option<TermSnapshot>,
 }
 
 /// What a process believes of the leader of an epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaderBelief {
+pub struct LeaderSnapshot {
     /// The leader, or the member that is being promoted.
     pub member: MemberId,
     /// Whether it is known to have taken the lead.
@@ -45,7 +45,7 @@
 
 /// A position that covers a moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CoveringBelief {
+pub struct CoveringSnapshot {
     /// The position.
     pub position: LogPosition,
     /// Age of the moment, ms.
@@ -54,7 +54,7 @@
 
 /// A record as the store had it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TermBelief {
+pub struct TermSnapshot {
     /// The record.
     pub record: TermRecord,
     /// Its version in the store.
@@ -189,7 +189,7 @@
         &self,
         peer: SocketAddr,
         groups: &[GroupName],
-    ) -> Result<Vec<GroupBelief>, PeerError>;
+    ) -> Result<Vec<GroupSnapshot>, PeerError>;
 
     /// What the process at `peer` knows of configuration and members that is newer than
     /// `known`.
--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -12,8 +12,8 @@
     FromHome, HomeOutcome, RunRequest, ToHome, UnitId, Wanted, decode, encode, encode_in_parts,
 };
 use crate::names::{GroupName, MemberId, RequestId};
-use crate::peers::beliefs;
-use crate::ports::{GroupBelief, PeerLink};
+use crate::peers::group_snapshots;
+use crate::ports::{GroupSnapshot, PeerLink};
 use crate::rate::counter::Draw;
 use crate::statement::TransactionState;
 use bytes::Bytes;
@@ -242,14 +242,14 @@
     }
 
     /// What this process believes of `group`, after a look at what is wanted.
-    async fn believe(&self, group: GroupName, wanted: Wanted) -> Vec<GroupBelief> {
+    async fn believe(&self, group: GroupName, wanted: Wanted) -> Vec<GroupSnapshot> {
         if !self.engine.directory().has_group(&group) {
             return Vec::new();
         }
         let known = self.engine.group(&group);
         // What can't be renewed in time is told as it is.
         let _ = timeout(RENEWAL_TIMEOUT, self.renew(&known, wanted)).await;
-        beliefs(&self.engine, &[group])
+        group_snapshots(&self.engine, &[group])
     }
 
     async fn renew(&self, group: &Group, wanted: Wanted) {
--- a/crates/engine/tests/support/peers.rs
+++ b/crates/engine/tests/support/peers.rs
@@ -11,10 +11,10 @@
 use stilequay_engine::engine::Engine;
 use stilequay_engine::link::frame::{FromHome, ToHome, decode};
 use stilequay_engine::names::GroupName;
-use stilequay_engine::peers::beliefs;
 use stilequay_engine::peers::declared::newer;
+use stilequay_engine::peers::group_snapshots;
 use stilequay_engine::ports::{
-    DeclaredState, DeclaredVersions, GroupBelief, PeerError, PeerLink, PeerNetwork,
+    DeclaredState, DeclaredVersions, GroupSnapshot, PeerError, PeerLink, PeerNetwork,
 };
 use stilequay_engine::serving;
 use tokio::sync::{mpsc, watch};
@@ -230,9 +230,9 @@
         &self,
         peer: SocketAddr,
         groups: &[GroupName],
-    ) -> Result<Vec<GroupBelief>, PeerError> {
+    ) -> Result<Vec<GroupSnapshot>, PeerError> {
         let engine = self.peers.reach(peer).await?;
-        let answer = beliefs(&engine, groups);
+        let answer = group_snapshots(&engine, groups);
         sleep(ONE_WAY).await;
         Ok(answer)
     }
