--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -523,7 +523,7 @@
 }
 
 fn take(engine: &Engine, news: News, asked: Instant) {
-    declared::take(engine, news.declared, asked);
+    declared::apply(engine, news.declared, asked);
     if news.records_version > engine.terms().version() {
         let changes = RecordChanges {
             written: news.records,
--- a/crates/engine/src/home/mod.rs
+++ b/crates/engine/src/home/mod.rs
@@ -124,5 +124,5 @@
     metrics::counter!("stilequay_peer_answers_total").increment(1);
     beliefs
         .into_iter()
-        .for_each(|belief| peers::take(engine, belief, asked));
+        .for_each(|belief| peers::apply(engine, belief, asked));
 }
--- a/crates/engine/src/leadership/access.rs
+++ b/crates/engine/src/leadership/access.rs
@@ -119,7 +119,7 @@
     let store = engine.terms().refresh(engine, group, Instant::now());
     let answered = timeout(STORE_PATIENCE, store).await;
     if !matches!(answered, Ok(Ok(()))) {
-        peers::ask(engine, std::slice::from_ref(group.name())).await;
+        peers::query(engine, std::slice::from_ref(group.name())).await;
     }
 }
 
--- a/crates/engine/src/leadership/follower.rs
+++ b/crates/engine/src/leadership/follower.rs
@@ -237,7 +237,7 @@
                     engine.following().failed(Feed::Records, failures);
                     dependency.note(engine.events(), Some(error.to_string()));
                     if !following::follows_others(engine) {
-                        peers::ask(engine, &engine.directory().groups()).await;
+                        peers::query(engine, &engine.directory().groups()).await;
                     }
                     sleep(following::retry_pause(engine, failures)).await;
                 }
--- a/crates/engine/src/leadership/freshness.rs
+++ b/crates/engine/src/leadership/freshness.rs
@@ -48,7 +48,7 @@
     }
     let _ = timeout_at(
         until,
-        peers::ask(engine, std::slice::from_ref(group.name())),
+        peers::query(engine, std::slice::from_ref(group.name())),
     )
     .await;
     if let Some(position) = group.covering_position(moment) {
--- a/crates/engine/src/link/links.rs
+++ b/crates/engine/src/link/links.rs
@@ -173,7 +173,7 @@
         let changes = self.changes.clone();
         tokio::spawn(async move {
             let opening = async {
-                let mut link = network.link(address).await.ok()?;
+                let mut link = network.open_link(address).await.ok()?;
                 answers(&mut link).await.then_some(link)
             };
             let place = match timeout(OPEN_TIMEOUT, opening).await {
--- a/crates/engine/src/peers/declared.rs
+++ b/crates/engine/src/peers/declared.rs
@@ -124,7 +124,7 @@
 
 /// Asks a few processes for what is newer than what this one knows, and takes it. In a large
 /// fleet nobody is asked here: [`following`] asks those that follow the store.
-pub async fn ask(engine: &Engine) {
+pub async fn query(engine: &Engine) {
     if following::follows_others(engine) {
         return;
     }
@@ -133,20 +133,20 @@
     let peers = choose_peers(engine);
     let questions = peers
         .iter()
-        .map(|peer| engine.peers().ask_declared(*peer, versions));
+        .map(|peer| engine.peers().query_declared(*peer, versions));
     let mut answers: FuturesUnordered<_> = questions.collect();
     while let Ok(Some(answer)) = timeout_at(asked + ANSWER_TIMEOUT, answers.next()).await {
         let Ok(state) = answer else { continue };
         metrics::counter!("stilequay_peer_answers_total").increment(1);
-        take(engine, state, asked);
+        apply(engine, state, asked);
     }
 }
 
 /// Takes what another process knew when it was asked at `asked`: ages only grow on the way,
 /// so a departure is taken to be older than it is, never younger.
-pub(crate) fn take(engine: &Engine, state: DeclaredState, asked: Instant) {
+pub(crate) fn apply(engine: &Engine, state: DeclaredState, asked: Instant) {
     let is_taken = match state.configuration {
-        Some(configuration) => take_configuration(engine, configuration),
+        Some(configuration) => apply_configuration(engine, configuration),
         None => true,
     };
     if let Some(evacuations) = state.evacuations {
@@ -179,7 +179,7 @@
 
 /// Takes a configuration that another process has told of; returns whether what is in use is
 /// that one or a later one. Changes of a version that is no longer in use can't be applied.
-fn take_configuration(engine: &Engine, declared: DeclaredConfiguration) -> bool {
+fn apply_configuration(engine: &Engine, declared: DeclaredConfiguration) -> bool {
     let configuration = match declared {
         DeclaredConfiguration::Whole(configuration) => Some(configuration),
         DeclaredConfiguration::Changes(changes) => {
--- a/crates/engine/src/peers/mod.rs
+++ b/crates/engine/src/peers/mod.rs
@@ -62,11 +62,13 @@
 }
 
 /// Asks a few processes about `groups`, and takes what they believe.
-pub async fn ask(engine: &Engine, groups: &[GroupName]) {
+pub async fn query(engine: &Engine, groups: &[GroupName]) {
     let asked = Instant::now();
     let until = asked + ANSWER_TIMEOUT;
     let peers = choose_peers(engine);
-    let questions = peers.iter().map(|peer| engine.peers().ask(*peer, groups));
+    let questions = peers
+        .iter()
+        .map(|peer| engine.peers().query_groups(*peer, groups));
     let mut answers: FuturesUnordered<_> = questions.collect();
     while let Ok(Some(answer)) = timeout_at(until, answers.next()).await {
         let Ok(group_snapshots) = answer else {
@@ -75,7 +77,7 @@
         metrics::counter!("stilequay_peer_answers_total").increment(1);
         group_snapshots
             .into_iter()
-            .for_each(|snapshot| take(engine, snapshot, asked));
+            .for_each(|snapshot| apply(engine, snapshot, asked));
     }
 }
 
@@ -86,7 +88,7 @@
 }
 
 /// Takes what another process believed when it was asked at `asked`.
-pub(crate) fn take(engine: &Engine, snapshot: GroupSnapshot, asked: Instant) {
+pub(crate) fn apply(engine: &Engine, snapshot: GroupSnapshot, asked: Instant) {
     if let Some(TermSnapshot { record, version }) = snapshot.term {
         let term = VersionedTerm { record, version };
         engine.terms().apply_one(engine, term, None);
--- a/crates/engine/src/peers/tcp.rs
+++ b/crates/engine/src/peers/tcp.rs
@@ -79,7 +79,7 @@
 
 #[async_trait]
 impl PeerNetwork for TcpPeers {
-    async fn ask(
+    async fn query_groups(
         &self,
         peer: SocketAddr,
         groups: &[GroupName],
@@ -90,7 +90,7 @@
         }
     }
 
-    async fn ask_declared(
+    async fn query_declared(
         &self,
         peer: SocketAddr,
         known: DeclaredVersions,
@@ -101,7 +101,7 @@
         }
     }
 
-    async fn link(&self, peer: SocketAddr) -> Result<PeerLink, PeerError> {
+    async fn open_link(&self, peer: SocketAddr) -> Result<PeerLink, PeerError> {
         let unreachable = |error: std::io::Error| PeerError::Unreachable(error.to_string());
         let stream = TcpStream::connect(peer).await.map_err(unreachable)?;
         stream.set_nodelay(true).map_err(unreachable)?;
--- a/crates/engine/src/ports/peers.rs
+++ b/crates/engine/src/ports/peers.rs
@@ -185,7 +185,7 @@
 #[async_trait]
 pub trait PeerNetwork: Debug + Send + Sync + 'static {
     /// What the process at `peer` believes of `groups`.
-    async fn ask(
+    async fn query_groups(
         &self,
         peer: SocketAddr,
         groups: &[GroupName],
@@ -193,12 +193,12 @@
 
     /// What the process at `peer` knows of configuration and members that is newer than
     /// `known`.
-    async fn ask_declared(
+    async fn query_declared(
         &self,
         peer: SocketAddr,
         known: DeclaredVersions,
     ) -> Result<DeclaredState, PeerError>;
 
     /// Opens a link to the process at `peer`, which [serves](crate::serving::serve) it.
-    async fn link(&self, peer: SocketAddr) -> Result<PeerLink, PeerError>;
+    async fn open_link(&self, peer: SocketAddr) -> Result<PeerLink, PeerError>;
 }
--- a/crates/engine/tests/departures.rs
+++ b/crates/engine/tests/departures.rs
@@ -174,7 +174,7 @@
     let directory = engines[0].directory();
     engines[0].set_directory(directory.replaced(version, present.collect(), departure));
     fleet.world.hidden.lock().unwrap().insert("c".to_owned());
-    stilequay_engine::peers::declared::ask(engines[1]).await;
+    stilequay_engine::peers::declared::query(engines[1]).await;
     let state = engines[1]
         .directory()
         .member("c")
--- a/crates/engine/tests/peers.rs
+++ b/crates/engine/tests/peers.rs
@@ -11,7 +11,7 @@
     Departure, Directory, DirectoryChange, GONE_MEMORY, Member, MemberState,
 };
 use stilequay_engine::leadership::record::{TermPhase, TermRecord};
-use stilequay_engine::peers::{TcpPeers, ask, declared, serve};
+use stilequay_engine::peers::{TcpPeers, declared, query, serve};
 use stilequay_engine::ports::{
     DeclaredConfiguration, DeclaredExtent, DeclaredVersions, PeerNetwork,
 };
@@ -90,7 +90,10 @@
     let address = listener.local_addr().expect("an address");
     tokio::spawn(serve(Arc::clone(&engine), listener));
     let groups = [Arc::from(GROUP), Arc::from("unknown")];
-    let beliefs = TcpPeers.ask(address, &groups).await.expect("an answer");
+    let beliefs = TcpPeers
+        .query_groups(address, &groups)
+        .await
+        .expect("an answer");
     assert_eq!(beliefs.len(), 1);
     assert_eq!((&*beliefs[0].group, beliefs[0].epoch), (GROUP, 0));
     let leader = beliefs[0].leader.as_ref().expect("a leader");
@@ -101,14 +104,14 @@
         directory: 0,
         evacuations: 0,
     };
-    let state = TcpPeers.ask_declared(address, nothing).await;
+    let state = TcpPeers.query_declared(address, nothing).await;
     let state = state.expect("an answer");
     let expected = engine.configuration().expect("one");
     let whole = DeclaredConfiguration::Whole(expected.as_ref().clone());
     assert_eq!(state.configuration, Some(whole));
     assert_eq!(state.directory.expect("members").members.len(), 3);
     let all = declared::known_versions(&engine);
-    let state = TcpPeers.ask_declared(address, all).await;
+    let state = TcpPeers.query_declared(address, all).await;
     assert!(state.expect("an answer").configuration.is_none());
     // What makes no sense gets no answer, and the next question does.
     let stream = TcpStream::connect(address).await.expect("connected");
@@ -118,7 +121,7 @@
         .await
         .expect("sent");
     assert!(frames.next().await.is_none());
-    assert!(TcpPeers.ask(address, &groups).await.is_ok());
+    assert!(TcpPeers.query_groups(address, &groups).await.is_ok());
 }
 
 fn change_of_leader(phase: TermPhase) -> TermRecord {
@@ -154,7 +157,7 @@
     let promoting = change_of_leader(TermPhase::Promoting);
     groups[1].apply_record(&promoting, None, now);
     let before = (groups[1].view(), groups[1].evidence());
-    ask(&fleet.nodes[1].engine, &[Arc::from(GROUP)]).await;
+    query(&fleet.nodes[1].engine, &[Arc::from(GROUP)]).await;
     assert_eq!((groups[1].view(), groups[1].evidence()), before);
     assert!(!before.0.confirmed);
 }
@@ -182,7 +185,7 @@
     let entries = fleet.world.entries();
     let version = cut.directory().version + 1_000_000;
     knowing.set_directory(knowing.directory().replaced(version, entries, leaving));
-    declared::ask(cut).await;
+    declared::query(cut).await;
     assert_eq!(cut.configuration().as_deref(), Some(&newer));
     assert_eq!(cut.directory().version, version);
     let Some(MemberState::Leaving(told)) = known() else {
@@ -191,7 +194,7 @@
     assert!(told.earliest <= leaving.earliest && told.earliest.is_some());
     // Asked the other way round, nothing older is taken.
     let before = knowing.directory().version;
-    declared::ask(knowing).await;
+    declared::query(knowing).await;
     assert_eq!(knowing.directory().version, before);
 }
 
--- a/crates/engine/tests/support/peers.rs
+++ b/crates/engine/tests/support/peers.rs
@@ -226,7 +226,7 @@
 
 #[async_trait]
 impl PeerNetwork for NodePeers {
-    async fn ask(
+    async fn query_groups(
         &self,
         peer: SocketAddr,
         groups: &[GroupName],
@@ -237,7 +237,7 @@
         Ok(answer)
     }
 
-    async fn ask_declared(
+    async fn query_declared(
         &self,
         peer: SocketAddr,
         known: DeclaredVersions,
@@ -248,7 +248,7 @@
         Ok(answer)
     }
 
-    async fn link(&self, peer: SocketAddr) -> Result<PeerLink, PeerError> {
+    async fn open_link(&self, peer: SocketAddr) -> Result<PeerLink, PeerError> {
         let engine = self.peers.reach(peer).await?;
         let there = engine.settings().node.to_string();
         if !self.peers.world.network.reaches(&self.node, &there) {
--- a/crates/engine/tests/vouching.rs
+++ b/crates/engine/tests/vouching.rs
@@ -85,7 +85,7 @@
 async fn vouched(fleet: &Fleet, from: usize, to: usize) -> Option<StoreVersion> {
     let network = fleet.peers.for_node(&fleet.nodes[from].name);
     let address = MemoryPeers::address_of(&fleet.nodes[to].name);
-    let mut link = network.link(address).await.expect("a link");
+    let mut link = network.open_link(address).await.expect("a link");
     let question = encode(&ToHome::AskNewestTerm { exchange: 1 });
     link.tx.send(question).await.expect("an open link");
     let answer = link.rx.recv().await.expect("an answer");
