--- a/crates/engine/src/following/search.rs
+++ b/crates/engine/src/following/search.rs
@@ -190,7 +190,7 @@
     if let Ok(Ok(())) = on_time {
         return Ok(());
     }
-    let Some(second) = links.first_usable_beside(sources, &first).await else {
+    let Some(second) = links.first_usable_except(sources, &first).await else {
         return match on_time {
             Ok(learned) => learned,
             Err(_) => asked.await,
@@ -230,7 +230,7 @@
     let known = known_versions(engine);
     let asked = Instant::now();
     let Some(news) = link.follow(known, wait, ANSWER_MARGIN).await else {
-        link.note_silence(asked);
+        link.report_timeout(asked);
         count(step, "silent");
         return Err(NoNews::Silent);
     };
--- a/crates/engine/src/home/mod.rs
+++ b/crates/engine/src/home/mod.rs
@@ -30,7 +30,7 @@
 
 use crate::engine::Engine;
 use crate::group::Group;
-use crate::link::frame::Wanted;
+use crate::link::frame::RequiredFreshness;
 use crate::names::{GroupName, RegionName};
 use crate::peers;
 use crate::ports::GroupSnapshot;
@@ -46,12 +46,12 @@
 /// whole fleet bring it; returns whether one has answered. Homes themselves, and processes
 /// of a small fleet, ask nobody.
 pub async fn ask_for_evidence(engine: &Engine, group: &Group) -> bool {
-    ask(engine, group, Wanted::Evidence).await
+    ask(engine, group, RequiredFreshness::Evidence).await
 }
 
 /// As [`ask_for_evidence`], for a position that covers a recent moment.
 pub async fn ask_for_position(engine: &Engine, group: &Group) -> bool {
-    ask(engine, group, Wanted::Position).await
+    ask(engine, group, RequiredFreshness::Position).await
 }
 
 /// Asks the keeper of the evidence of `group`, which reads the store for the whole fleet;
@@ -67,15 +67,15 @@
     let Some(link) = keeper.await else {
         return false;
     };
-    let beliefs = link.ask(group.name(), Wanted::StoreEvidence);
+    let beliefs = link.query_group(group.name(), RequiredFreshness::StoreEvidence);
     if let Ok(Some(beliefs)) = timeout(ASK_TIMEOUT, beliefs).await {
         take(engine, beliefs, asked);
     }
     let leader = group.leased_leader(Instant::now(), Duration::ZERO);
     match leader {
-        Some(_) => link.trust(),
+        Some(_) => link.reset_deprioritization(),
         // It is cut off from the store, or from here: the other keeper is asked next.
-        None => link.distrust(),
+        None => link.deprioritize(),
     }
     leader.is_some()
 }
@@ -99,7 +99,7 @@
     most.map(|(region, _)| region.clone())
 }
 
-async fn ask(engine: &Engine, group: &Group, wanted: Wanted) -> bool {
+async fn ask(engine: &Engine, group: &Group, wanted: RequiredFreshness) -> bool {
     let leader = group.view().leader;
     let directory = engine.directory();
     let member = leader.and_then(|leader| directory.member(&leader).cloned());
@@ -111,7 +111,7 @@
     let anywhere = &Residency::ANYWHERE;
     let answered = timeout(ASK_TIMEOUT, async {
         let link = engine.homes().choose(&member, None, anywhere).await?;
-        link.get().ask(group.name(), wanted).await
+        link.get().query_group(group.name(), wanted).await
     });
     let Ok(Some(beliefs)) = answered.await else {
         return false;
--- a/crates/engine/src/home/remote.rs
+++ b/crates/engine/src/home/remote.rs
@@ -229,7 +229,7 @@
     /// Leaves a home that runs nothing at the member; returns whether there is another.
     async fn go_elsewhere(&mut self) -> bool {
         self.unit = None;
-        self.link().distrust();
+        self.link().deprioritize();
         let (tenant, residency) = (self.tenant.as_ref(), self.link.residency());
         match self.homes.choose(&self.member, tenant, residency).await {
             Some(link) if !Arc::ptr_eq(link.get(), self.link()) => {
--- a/crates/engine/src/leadership/duty.rs
+++ b/crates/engine/src/leadership/duty.rs
@@ -223,8 +223,12 @@
 /// in memory, and none reads it from the store meanwhile.
 async fn tell_candidates(engine: &Engine, record: &LeaseRecord) {
     let addresses = engine.homes().duty_addresses(CANDIDATES);
-    let tell = |link: &Link| link.tell_promotion_lease(record);
-    engine.homes().links().tell_each(addresses, tell).await;
+    let tell = |link: &Link| link.send_promotion_lease(record);
+    engine
+        .homes()
+        .links()
+        .for_each_usable(addresses, tell)
+        .await;
 }
 
 /// How long the candidate of `rank` waits for those that come before it; the first is the
--- a/crates/engine/src/leadership/vouching.rs
+++ b/crates/engine/src/leadership/vouching.rs
@@ -114,7 +114,7 @@
     }
     let answered = timeout(ANSWER_TIMEOUT, async {
         let link = engine.homes().links().first_usable(&[holder]).await?;
-        link.ask_newest_term().await.flatten()
+        link.query_newest_term().await.flatten()
     });
     let newest = answered.await.ok().flatten();
     if newest.is_none() {
--- a/crates/engine/src/link/client.rs
+++ b/crates/engine/src/link/client.rs
@@ -1,8 +1,8 @@
 //! A link from this process to another one, shared by all sessions.
 
 use super::frame::{
-    ExchangeId, FollowedVersions, FromHome, HomeOutcome, News, RunRequest, ToHome, UnitId, Wanted,
-    decode, encode,
+    ExchangeId, FollowedVersions, FromHome, HomeOutcome, News, RequiredFreshness, RunRequest,
+    ToHome, UnitId, decode, encode,
 };
 use crate::names::{GroupName, TenantName};
 use crate::ports::{GroupSnapshot, PeerLink};
@@ -144,7 +144,7 @@
     /// Notes that no answer has come to what was asked at `asked`, and should have. Where
     /// nothing else was heard since, the link counts as silent: the next one who needs it opens
     /// another.
-    pub fn note_silence(&self, asked: Instant) {
+    pub fn report_timeout(&self, asked: Instant) {
         let mut state = self.lock();
         if state.heard <= asked {
             state.pinged.get_or_insert(asked);
@@ -221,7 +221,11 @@
     }
 
     /// Asks what is believed of `group`; `None` where the link ends first.
-    pub async fn ask(&self, group: &GroupName, wanted: Wanted) -> Option<Vec<GroupSnapshot>> {
+    pub async fn query_group(
+        &self,
+        group: &GroupName,
+        wanted: RequiredFreshness,
+    ) -> Option<Vec<GroupSnapshot>> {
         let (tx, rx) = oneshot::channel();
         let exchange = self.register(Waiter::Ask(tx));
         let question = ToHome::Ask {
@@ -282,7 +286,12 @@
 
     /// Asks for a permit for one operation of `tenant`, or, unless it `takes` one, whether
     /// `shard` is counted there; `None` where the link ends first.
-    pub async fn draw(&self, shard: Shard, tenant: &TenantName, takes: bool) -> Option<Draw> {
+    pub async fn request_permit(
+        &self,
+        shard: Shard,
+        tenant: &TenantName,
+        takes: bool,
+    ) -> Option<Draw> {
         let (tx, rx) = oneshot::channel();
         let exchange = self.register(Waiter::Draw(tx));
         let question = ToHome::Draw {
@@ -299,7 +308,7 @@
 
     /// Asks the holder of the lease for promotions for the version of the newest record of a term,
     /// which it tells while it holds the lease; `None` where the link ends first.
-    pub async fn ask_newest_term(&self) -> Option<Option<StoreVersion>> {
+    pub async fn query_newest_term(&self) -> Option<Option<StoreVersion>> {
         let (tx, rx) = oneshot::channel();
         let exchange = self.register(Waiter::NewestTerm(tx));
         match self.send(&ToHome::AskNewestTerm { exchange }) {
@@ -309,23 +318,23 @@
     }
 
     /// Asks the other side to be ready to count `shard` of the rate limits.
-    pub fn want(&self, shard: Shard) {
+    pub fn prepare_counter(&self, shard: Shard) {
         self.send(&ToHome::Want(shard));
     }
 
     /// Tells the other side of the lease of `shard`, which this process has just written.
-    pub fn tell_lease(&self, shard: Shard, record: &LeaseRecord) {
+    pub fn send_counter_lease(&self, shard: Shard, record: &LeaseRecord) {
         let record = Box::new(record.clone());
         self.send(&ToHome::CounterLease { shard, record });
     }
 
     /// Tells the other side of the lease for promotions, which this process has just written.
-    pub fn tell_promotion_lease(&self, record: &LeaseRecord) {
+    pub fn send_promotion_lease(&self, record: &LeaseRecord) {
         self.send(&ToHome::PromotionLease(Box::new(record.clone())));
     }
 
     /// Prefers other links for a while: what is told here is not good enough.
-    pub fn distrust(&self) {
+    pub fn deprioritize(&self) {
         let mut state = self.lock();
         let now = Instant::now();
         if state.distrusted_until.is_some_and(|until| now < until) {
@@ -338,7 +347,7 @@
     }
 
     /// Notes that what is told here is good enough.
-    pub fn trust(&self) {
+    pub fn reset_deprioritization(&self) {
         self.lock().disappointments = 0;
     }
 
--- a/crates/engine/src/link/frame.rs
+++ b/crates/engine/src/link/frame.rs
@@ -33,7 +33,7 @@
         /// The group.
         group: GroupName,
         /// What is to be recent.
-        wanted: Wanted,
+        wanted: RequiredFreshness,
     },
     /// Tell what is newer.
     Follow {
@@ -77,7 +77,7 @@
 
 /// What a process needs to be recent in a home's belief.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Wanted {
+pub enum RequiredFreshness {
     /// Evidence for the leader's term.
     Evidence,
     /// The same, from the store if need be, asked of its keeper.
--- a/crates/engine/src/link/links.rs
+++ b/crates/engine/src/link/links.rs
@@ -86,7 +86,7 @@
     }
 
     /// Gives `tell` a usable link to each of `addresses` that has one, all side by side.
-    pub async fn tell_each(&self, addresses: Vec<SocketAddr>, tell: impl Fn(&Link)) {
+    pub async fn for_each_usable(&self, addresses: Vec<SocketAddr>, tell: impl Fn(&Link)) {
         let told = addresses.into_iter().map(|address| {
             let tell = &tell;
             async move {
@@ -99,7 +99,7 @@
     }
 
     /// As [`Links::first_usable`], for a link other than `taken`.
-    pub async fn first_usable_beside(
+    pub async fn first_usable_except(
         &self,
         addresses: &[SocketAddr],
         taken: &Arc<Link>,
--- a/crates/engine/src/rate/asking.rs
+++ b/crates/engine/src/rate/asking.rs
@@ -275,14 +275,14 @@
     let link = engine.homes().links().first_usable(&[address]).await?;
     let asked = Instant::now();
     let takes = !waiting.is_closed();
-    match timeout(ANSWER_TIMEOUT, link.draw(shard, tenant, takes)).await {
+    match timeout(ANSWER_TIMEOUT, link.request_permit(shard, tenant, takes)).await {
         Ok(Some(Draw::NotCounted)) | Ok(None) => None,
         Ok(Some(drawn)) => {
             engine.homes().note_counter(shard, address);
             Some((asked, drawn))
         }
         Err(_) => {
-            link.note_silence(asked);
+            link.report_timeout(asked);
             None
         }
     }
--- a/crates/engine/src/rate/pursuit.rs
+++ b/crates/engine/src/rate/pursuit.rs
@@ -279,8 +279,12 @@
 /// nobody asks it.
 async fn tell_candidates(engine: &Engine, shard: Shard, record: &LeaseRecord) {
     let addresses = engine.homes().counter_addresses(shard);
-    let tell = |link: &Link| link.tell_lease(shard, record);
-    engine.homes().links().tell_each(addresses, tell).await;
+    let tell = |link: &Link| link.send_counter_lease(shard, record);
+    engine
+        .homes()
+        .links()
+        .for_each_usable(addresses, tell)
+        .await;
 }
 
 /// Renews a lease. A store that is silent to this process only is found out by the call's
@@ -305,7 +309,7 @@
 async fn warn_others(engine: &Engine, shard: Shard) {
     for address in engine.homes().counter_addresses(shard) {
         if let Some(link) = engine.homes().links().first_usable(&[address]).await {
-            link.want(shard);
+            link.prepare_counter(shard);
         }
     }
 }
--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -9,7 +9,8 @@
 use crate::leadership::freshness;
 use crate::leadership::vouching;
 use crate::link::frame::{
-    FromHome, HomeOutcome, RunRequest, ToHome, UnitId, Wanted, decode, encode, encode_in_parts,
+    FromHome, HomeOutcome, RequiredFreshness, RunRequest, ToHome, UnitId, decode, encode,
+    encode_in_parts,
 };
 use crate::names::{GroupName, MemberId, RequestId};
 use crate::peers::group_snapshots;
@@ -242,7 +243,7 @@
     }
 
     /// What this process believes of `group`, after a look at what is wanted.
-    async fn believe(&self, group: GroupName, wanted: Wanted) -> Vec<GroupSnapshot> {
+    async fn believe(&self, group: GroupName, wanted: RequiredFreshness) -> Vec<GroupSnapshot> {
         if !self.engine.directory().has_group(&group) {
             return Vec::new();
         }
@@ -252,22 +253,24 @@
         group_snapshots(&self.engine, &[group])
     }
 
-    async fn renew(&self, group: &Group, wanted: Wanted) {
+    async fn renew(&self, group: &Group, wanted: RequiredFreshness) {
         let now = Instant::now();
         let is_recent = |at: Option<Instant>, age| at.is_some_and(|at| now < at + age);
         if !is_recent(group.evidence(), EVIDENCE_AGE) {
             match wanted {
-                Wanted::StoreEvidence => {
+                RequiredFreshness::StoreEvidence => {
                     if !vouching::renew(&self.engine, group).await {
                         // A failure is told by the task that follows the records.
                         let _ = self.engine.terms().refresh(&self.engine, group, now).await;
                     }
                 }
-                Wanted::Evidence | Wanted::Position => renew_evidence(&self.engine, group).await,
+                RequiredFreshness::Evidence | RequiredFreshness::Position => {
+                    renew_evidence(&self.engine, group).await
+                }
             }
         }
         let covered = group.newest_covering().map(|sample| sample.at);
-        if wanted == Wanted::Position && !is_recent(covered, POSITION_AGE) {
+        if wanted == RequiredFreshness::Position && !is_recent(covered, POSITION_AGE) {
             freshness::ask_leader(&self.engine, group).await;
         }
     }
