--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -422,8 +422,8 @@
     /// How long one call that waits for changes in the store may wait: short enough that a
     /// call that is never answered is noticed in time, by those too that learn of changes
     /// from others.
-    pub fn feed_wait(&self) -> Duration {
-        let share = match following::follows_others(self) {
+    pub fn watch_timeout(&self) -> Duration {
+        let share = match following::uses_relays(self) {
             true => RELAYED_FEED_CONTACT_SHARE,
             false => FEED_CONTACT_SHARE,
         };
--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -107,7 +107,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct FeedState {
     /// As of when the store had told everything.
-    heard: Option<Instant>,
+    current_as_of: Option<Instant>,
     /// The store's version as of which everything is known; zero where nothing is. Whoever
     /// begins to follow the store goes on from here, as long as it remembers that far back.
     version: u64,
@@ -119,7 +119,7 @@
 
 impl FeedState {
     fn advance(&mut self, at: Instant, version: u64) {
-        self.heard = self.heard.max(Some(at));
+        self.current_as_of = self.current_as_of.max(Some(at));
         self.version = self.version.max(version);
     }
 }
@@ -167,7 +167,7 @@
 
     /// Returns once this process is to follow the store itself; whether it has learned from
     /// others before, so that it goes on from what they have told.
-    pub async fn until_direct(&self) -> bool {
+    pub async fn wait_until_direct(&self) -> bool {
         let mut mode = self.mode.subscribe();
         let mut has_learned = false;
         loop {
@@ -183,13 +183,13 @@
 
     /// Notes that the store has told everything that `feed` holds as of `at`, and as of its
     /// `version`, and that it has been taken.
-    pub fn heard(&self, feed: Feed, at: Instant, version: u64) {
+    pub fn mark_current(&self, feed: Feed, at: Instant, version: u64) {
         let is_complete = {
             let mut feeds = self.lock();
             let state = &mut feeds[feed as usize];
             state.advance(at, version);
             state.failing = false;
-            feeds.iter().all(|feed| feed.heard.is_some())
+            feeds.iter().all(|feed| feed.current_as_of.is_some())
         };
         if is_complete {
             self.is_complete
@@ -199,7 +199,7 @@
 
     /// The same of what another process has told of all feeds. Whether the store fails to
     /// answer this one stays as it is: it does not tell others what it may not know for long.
-    fn heard_of_others(&self, at: Instant, versions: FeedVersions) {
+    fn mark_current_from_peer(&self, at: Instant, versions: FeedVersions) {
         let mut feeds = self.lock();
         feeds[Feed::Configuration as usize].advance(at, versions.configuration);
         feeds[Feed::Directory as usize].advance(at, versions.directory);
@@ -208,7 +208,7 @@
 
     /// Notes that the store has failed to tell of `feed`, for the `failures`th time in a row.
     /// One failure says little; the next call may be answered.
-    pub fn failed(&self, feed: Feed, failures: u32) {
+    pub fn mark_failed(&self, feed: Feed, failures: u32) {
         self.lock()[feed as usize].failing = failures > 1;
     }
 
@@ -241,9 +241,13 @@
     }
 
     /// Since when something may have changed that this process does not know.
-    pub fn known_as_of(&self) -> Option<Instant> {
+    pub fn current_as_of(&self) -> Option<Instant> {
         let feeds = *self.lock();
-        feeds.into_iter().map(|feed| feed.heard).min().flatten()
+        feeds
+            .into_iter()
+            .map(|feed| feed.current_as_of)
+            .min()
+            .flatten()
     }
 
     /// The version from which on the store is to be asked for changes of `feed`; `None`
@@ -290,7 +294,7 @@
 }
 
 /// Whether the fleet is so large that most of it follows the store through a few.
-pub fn follows_others(engine: &Engine) -> bool {
+pub fn uses_relays(engine: &Engine) -> bool {
     engine.homes().fleet_len() > DIRECT_FLEET
 }
 
@@ -302,7 +306,7 @@
     let mut search = Search::default();
     settle(engine).await;
     loop {
-        if !follows_others(engine) {
+        if !uses_relays(engine) {
             engine.following().set_mode(Mode::Direct);
             sleep(PAUSE).await;
             continue;
@@ -342,7 +346,7 @@
             is_restart.get_or_insert_with(|| fleet::is_registered(engine));
             until_taken(engine).await;
         }
-        if follows_others(engine) || is_restart == Some(true) {
+        if uses_relays(engine) || is_restart == Some(true) {
             return;
         }
         let processes = engine.homes().fleet_len();
@@ -439,7 +443,7 @@
 
 /// How long to wait before the store is asked again after it has failed `failures` times in
 /// a row. In a large fleet the wait grows: what is refused costs the store too.
-pub fn retry_pause(engine: &Engine, failures: u32) -> Duration {
+pub fn retry_backoff(engine: &Engine, failures: u32) -> Duration {
     let doublings = match engine.processes() > DIRECT_FLEET {
         true => failures.saturating_sub(1).min(MAX_DOUBLINGS),
         false => 0,
@@ -465,18 +469,18 @@
 
 /// Whether this process has not heard of the store for longer than it should, at `now`.
 pub fn is_out_of_date(engine: &Engine, now: Instant) -> bool {
-    let as_of = engine.following().known_as_of();
+    let as_of = engine.following().current_as_of();
     as_of.is_none_or(|at| now > at + age_limit(engine))
 }
 
 /// Greatest age of what a process knows of the store, while it is told: one wait of who
 /// follows the store, and one of who asks that one for others.
 pub fn age_limit(engine: &Engine) -> Duration {
-    let relayed = match follows_others(engine) {
+    let relayed = match uses_relays(engine) {
         true => news_wait(engine),
         false => Duration::ZERO,
     };
-    engine.feed_wait() + AGE_MARGIN + relayed
+    engine.watch_timeout() + AGE_MARGIN + relayed
 }
 
 /// How long one question waits for news here.
@@ -500,15 +504,15 @@
 }
 
 /// How long one call waits for changes of the configuration at the store.
-pub fn configuration_wait(engine: &Engine) -> Duration {
-    let wait = engine.feed_wait();
+pub fn configuration_watch_timeout(engine: &Engine) -> Duration {
+    let wait = engine.watch_timeout();
     proof_wait(engine).map_or(wait, |longest| wait.min(longest))
 }
 
 /// How long one call waits for changes at the store that usually waits for `wait`. One that
 /// follows after the process has `turned` to the store, or after `failures`, does not wait:
 /// what it answers tells at once that nothing was missed, half a second or more sooner.
-pub fn first_wait(turned: bool, failures: u32, wait: Duration) -> Duration {
+pub fn initial_watch_timeout(turned: bool, failures: u32, wait: Duration) -> Duration {
     match turned || failures > 0 {
         true => Duration::ZERO,
         false => wait,
@@ -540,7 +544,7 @@
     let following = engine.following();
     let longest = engine.settings().contact.mul_f64(STARTING_CONTACT_SHARE);
     let is_young = following.began.elapsed() < longest;
-    is_young && following.known_as_of().is_none() && !following.is_failing()
+    is_young && following.current_as_of().is_none() && !following.is_failing()
 }
 
 /// What this process knows that is newer than `known`; waits up to `wait` for something
@@ -582,7 +586,7 @@
 fn news_since(engine: &Engine, known: FollowedVersions, asked: Instant) -> News {
     // Before what is known is gathered: it must hold no less than these tell.
     let (as_of, feeds) = (
-        engine.following().known_as_of(),
+        engine.following().current_as_of(),
         engine.following().versions(),
     );
     let records_as_of = engine.slow_starts().records_as_of();
--- a/crates/engine/src/following/search.rs
+++ b/crates/engine/src/following/search.rs
@@ -250,7 +250,7 @@
         count(step, "failing");
         return Err(NoNews::TurnedAway);
     };
-    engine.following().heard_of_others(at, versions);
+    engine.following().mark_current_from_peer(at, versions);
     if !is_recent(engine, Instant::now()) {
         count(step, "old");
         return Err(NoNews::Old(age));
--- a/crates/engine/src/leadership/access.rs
+++ b/crates/engine/src/leadership/access.rs
@@ -80,7 +80,7 @@
 /// Asks a home of the leader for evidence, then the store, and other processes where it does
 /// not answer soon; where none has brought any, waits a moment.
 async fn refresh(engine: &Engine, group: &Group, staleness: Duration) {
-    if following::follows_others(engine) && hears_of_change(group).await {
+    if following::uses_relays(engine) && hears_of_change(group).await {
         return;
     }
     if home::ask_for_evidence(engine, group).await
--- a/crates/engine/src/leadership/fleet_index.rs
+++ b/crates/engine/src/leadership/fleet_index.rs
@@ -65,7 +65,7 @@
 pub async fn keep(engine: &Engine, duty: &Duty) {
     loop {
         sleep(COMPARE_INTERVAL).await;
-        if duty.check().is_none() || !following::follows_others(engine) {
+        if duty.check().is_none() || !following::uses_relays(engine) {
             continue;
         }
         let others = engine.terms().subscribe_others();
--- a/crates/engine/src/leadership/follower.rs
+++ b/crates/engine/src/leadership/follower.rs
@@ -195,7 +195,7 @@
         let mut failures = 0;
         let mut dependency = DependencyMonitor::new("term_records");
         loop {
-            let turned = engine.following().until_direct().await;
+            let turned = engine.following().wait_until_direct().await;
             if turned {
                 version = engine.following().resume_from(Feed::Records);
                 version = version.filter(|_| self.has_read());
@@ -204,7 +204,8 @@
             let result = match version {
                 None => self.records.read("").await,
                 Some(after) => {
-                    let wait = following::first_wait(turned, failures, engine.feed_wait());
+                    let wait =
+                        following::initial_watch_timeout(turned, failures, engine.watch_timeout());
                     self.records.watch(after, wait).await
                 }
             };
@@ -226,7 +227,7 @@
                     let now = Instant::now();
                     engine
                         .following()
-                        .heard(Feed::Records, now, changes.version);
+                        .mark_current(Feed::Records, now, changes.version);
                     if !changes.written.is_empty() {
                         following::pause_after_changes(engine, Feed::Records).await;
                     }
@@ -234,12 +235,12 @@
                 Err(RecordStoreError::HistoryGone) => version = None,
                 Err(error) => {
                     failures += 1;
-                    engine.following().failed(Feed::Records, failures);
+                    engine.following().mark_failed(Feed::Records, failures);
                     dependency.note(engine.events(), Some(error.to_string()));
-                    if !following::follows_others(engine) {
+                    if !following::uses_relays(engine) {
                         peers::query(engine, &engine.directory().groups()).await;
                     }
-                    sleep(following::retry_pause(engine, failures)).await;
+                    sleep(following::retry_backoff(engine, failures)).await;
                 }
             }
         }
--- a/crates/engine/src/peers/declared.rs
+++ b/crates/engine/src/peers/declared.rs
@@ -125,7 +125,7 @@
 /// Asks a few processes for what is newer than what this one knows, and takes it. In a large
 /// fleet nobody is asked here: [`following`] asks those that follow the store.
 pub async fn query(engine: &Engine) {
-    if following::follows_others(engine) {
+    if following::uses_relays(engine) {
         return;
     }
     let asked = Instant::now();
--- a/crates/engine/tests/feeds.rs
+++ b/crates/engine/tests/feeds.rs
@@ -17,5 +17,5 @@
     let fleet = Fleet::start(processes).await;
     let engine = &fleet.nodes[0].engine;
     until(|| engine.homes().fleet_len() == processes).await;
-    assert_eq!(engine.feed_wait(), Duration::from_millis(expected_ms));
+    assert_eq!(engine.watch_timeout(), Duration::from_millis(expected_ms));
 }
--- a/crates/engine/tests/silence.rs
+++ b/crates/engine/tests/silence.rs
@@ -41,7 +41,7 @@
     // What the store tells reaches everybody again.
     sleep(Duration::from_secs(3)).await;
     for node in &fleet.nodes {
-        let known = node.engine.following().known_as_of().expect("known");
+        let known = node.engine.following().current_as_of().expect("known");
         assert!(
             known > silenced + Duration::from_millis(200),
             "{}",
--- a/crates/engine/tests/support/mod.rs
+++ b/crates/engine/tests/support/mod.rs
@@ -359,13 +359,17 @@
             continue;
         }
         let now = Instant::now();
-        engine.following().heard(Feed::Configuration, now, version);
+        engine
+            .following()
+            .mark_current(Feed::Configuration, now, version);
         if records.serves(&engine.settings().node) {
             engine.set_evacuations(operator.evacuations.borrow().clone());
             engine.set_configuration(operator.configuration.borrow().clone());
             engine.following().prove_configuration(now);
         }
-        engine.following().heard(Feed::Directory, now, version);
+        engine
+            .following()
+            .mark_current(Feed::Directory, now, version);
         let next =
             engine
                 .directory()
