--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -28,10 +28,10 @@
 use crate::home::placement::Source;
 use crate::leadership::duty::Duty;
 use crate::leadership::fleet;
-use crate::link::frame::{FeedVersions, FollowedVersions, News};
+use crate::link::frame::{FeedVersions, FollowedVersions, StoreUpdates};
 use crate::peers::declared;
 use crate::ports::{Record, RecordChanges};
-use search::{NoNews, Search, Step};
+use search::{NoUpdates, Search, Step};
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -41,7 +41,7 @@
 /// Processes that may follow the store themselves, each.
 const DIRECT_FLEET: usize = 16;
 /// How long one question waits for news.
-const NEWS_WAIT: Duration = Duration::from_millis(900);
+const UPDATE_WAIT: Duration = Duration::from_millis(900);
 /// The same as a share of the time within which a removed credential, or an evacuation, must
 /// be known everywhere.
 /// A process proves its configuration by way of two others: this share for each of these, and
@@ -403,7 +403,7 @@
             return Ok(());
         }
         // It answers as soon as it knows everything.
-        Err(NoNews::Starting) if is_starting(engine) => {
+        Err(NoUpdates::Starting) if is_starting(engine) => {
             sleep(STARTING_PAUSE).await;
             return Ok(());
         }
@@ -477,15 +477,15 @@
 /// follows the store, and one of who asks that one for others.
 pub fn age_limit(engine: &Engine) -> Duration {
     let relayed = match uses_relays(engine) {
-        true => news_wait(engine),
+        true => update_wait(engine),
         false => Duration::ZERO,
     };
     engine.watch_timeout() + AGE_MARGIN + relayed
 }
 
 /// How long one question waits for news here.
-fn news_wait(engine: &Engine) -> Duration {
-    proof_wait(engine).map_or(NEWS_WAIT, |wait| NEWS_WAIT.min(wait))
+fn update_wait(engine: &Engine) -> Duration {
+    proof_wait(engine).map_or(UPDATE_WAIT, |wait| UPDATE_WAIT.min(wait))
 }
 
 /// How old the proof of what is in use may be; `None` where none is needed.
@@ -526,12 +526,12 @@
     }
 }
 
-fn take(engine: &Engine, news: News, asked: Instant) {
-    declared::apply(engine, news.declared, asked);
-    if news.records_version > engine.terms().version() {
+fn take(engine: &Engine, updates: StoreUpdates, asked: Instant) {
+    declared::apply(engine, updates.declared, asked);
+    if updates.records_version > engine.terms().version() {
         let changes = RecordChanges {
-            written: news.records,
-            version: news.records_version,
+            written: updates.records,
+            version: updates.records_version,
         };
         engine.terms().take_changes(engine, &changes);
     }
@@ -549,7 +549,11 @@
 
 /// What this process knows that is newer than `known`; waits up to `wait` for something
 /// newer, while what it knows is recent. One that is starting answers once it knows everything.
-pub async fn news(engine: &Engine, known: FollowedVersions, wait: Duration) -> News {
+pub async fn updates_since(
+    engine: &Engine,
+    known: FollowedVersions,
+    wait: Duration,
+) -> StoreUpdates {
     let mut directory = engine.subscribe_directory();
     let mut configuration = engine.subscribe_configuration();
     let mut evacuations = engine.subscribe_evacuations();
@@ -565,10 +569,10 @@
         completeness.mark_unchanged();
         let now = Instant::now();
         if !(is_starting(engine) && now < until) {
-            let news = news_since(engine, known, asked);
-            let stale = news.age.is_none() || !is_recent(engine, now);
-            if news.is_any(known) || stale || now >= until {
-                return news;
+            let updates = collect_updates(engine, known, asked);
+            let stale = updates.age.is_none() || !is_recent(engine, now);
+            if updates.has_updates(known) || stale || now >= until {
+                return updates;
             }
         }
         tokio::select! {
@@ -583,7 +587,7 @@
 }
 
 /// What is newer than `known`, for a question that came at `asked`.
-fn news_since(engine: &Engine, known: FollowedVersions, asked: Instant) -> News {
+fn collect_updates(engine: &Engine, known: FollowedVersions, asked: Instant) -> StoreUpdates {
     // Before what is known is gathered: it must hold no less than these tell.
     let (as_of, feeds) = (
         engine.following().current_as_of(),
@@ -596,7 +600,7 @@
         false => Vec::new(),
     };
     let as_of = as_of.filter(|_| !engine.following().is_failing());
-    News {
+    StoreUpdates {
         is_starting: as_of.is_none() && is_starting(engine),
         age: as_of.map(|at| Duration::from_millis(millis(asked.saturating_duration_since(at)) + 1)),
         feeds,
@@ -607,8 +611,8 @@
     }
 }
 
-impl News {
-    fn is_any(&self, known: FollowedVersions) -> bool {
+impl StoreUpdates {
+    fn has_updates(&self, known: FollowedVersions) -> bool {
         let declared = &self.declared;
         declared.configuration.is_some()
             || declared.directory.is_some()
--- a/crates/engine/src/following/search.rs
+++ b/crates/engine/src/following/search.rs
@@ -4,7 +4,7 @@
 //! that tell other zones and a few drawn from the whole fleet, since a rank does not know who
 //! is cut off. What one of these tells counts like any other answer: with the age that it has.
 
-use super::{STORE_SPREAD, is_recent, known_versions, news_wait, take};
+use super::{STORE_SPREAD, is_recent, known_versions, take, update_wait};
 use crate::engine::Engine;
 use crate::link::Link;
 use crate::peers::declared;
@@ -30,7 +30,7 @@
 quick_error! {
     /// Why nothing recent was learned of a process.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum NoNews {
+    pub enum NoUpdates {
         /// None of those that are to tell it is reached.
         Unreached {
             display("no process that follows the store is reached")
@@ -94,7 +94,7 @@
         &mut self,
         engine: &Engine,
         sources: &[SocketAddr],
-    ) -> Result<(), NoNews> {
+    ) -> Result<(), NoUpdates> {
         ask_pair(engine, sources, Step::Source).await?;
         *self = Self::default();
         Ok(())
@@ -119,7 +119,7 @@
         let informed = self.informed.take().filter(|(link, _)| link.is_usable());
         let informed = match informed {
             Some((link, step)) if with_scouts || step == Step::Elsewhere => {
-                let learned = ask(engine, &link, news_wait(engine), step).await;
+                let learned = ask(engine, &link, update_wait(engine), step).await;
                 learned.is_ok().then_some((link, step))
             }
             _ => None,
@@ -176,11 +176,11 @@
 
 /// Asks the first of `sources` that is reached. Where its answer is late or not recent, a second
 /// one is asked for what it knows now.
-async fn ask_pair(engine: &Engine, sources: &[SocketAddr], step: Step) -> Result<(), NoNews> {
+async fn ask_pair(engine: &Engine, sources: &[SocketAddr], step: Step) -> Result<(), NoUpdates> {
     let links = engine.homes().links();
     let first = links.first_usable(sources).await;
-    let first = first.ok_or(NoNews::Unreached)?;
-    let wait = news_wait(engine);
+    let first = first.ok_or(NoUpdates::Unreached)?;
+    let wait = update_wait(engine);
     let mut asked = pin!(ask(engine, &first, wait, step));
     let mut on_time = timeout(wait + HEDGE_MARGIN, &mut asked).await;
     // A long answer that is on its way is not asked for twice.
@@ -198,10 +198,10 @@
     };
     let mut hedge = pin!(ask(engine, &second, Duration::ZERO, step));
     if let Ok(learned) = on_time {
-        let is_starting = learned == Err(NoNews::Starting);
+        let is_starting = learned == Err(NoUpdates::Starting);
         let hedged = hedge.await;
         return hedged.map_err(|reason| match is_starting {
-            true => NoNews::Starting,
+            true => NoUpdates::Starting,
             false => reason,
         });
     }
@@ -226,18 +226,18 @@
 /// # Errors
 ///
 /// The reason why nothing recent was learned.
-async fn ask(engine: &Engine, link: &Link, wait: Duration, step: Step) -> Result<(), NoNews> {
+async fn ask(engine: &Engine, link: &Link, wait: Duration, step: Step) -> Result<(), NoUpdates> {
     let known = known_versions(engine);
     let asked = Instant::now();
-    let Some(news) = link.follow(known, wait, ANSWER_MARGIN).await else {
+    let Some(updates) = link.follow(known, wait, ANSWER_MARGIN).await else {
         link.report_timeout(asked);
         count(step, "silent");
-        return Err(NoNews::Silent);
+        return Err(NoUpdates::Silent);
     };
-    let (age, versions) = (news.age, news.feeds);
-    let is_starting = news.is_starting;
-    let records_as_of = news.records_complete_after_ms;
-    take(engine, news, asked);
+    let (age, versions) = (updates.age, updates.feeds);
+    let is_starting = updates.is_starting;
+    let records_as_of = updates.records_complete_after_ms;
+    take(engine, updates, asked);
     if let Some(at) = records_as_of.and_then(|ms| declared::moment_after(asked, ms)) {
         engine.slow_starts().prove_records(at);
     }
@@ -245,15 +245,15 @@
     let Some((age, at)) = dated else {
         if is_starting {
             count(step, "starting");
-            return Err(NoNews::Starting);
+            return Err(NoUpdates::Starting);
         }
         count(step, "failing");
-        return Err(NoNews::TurnedAway);
+        return Err(NoUpdates::TurnedAway);
     };
     engine.following().mark_current_from_peer(at, versions);
     if !is_recent(engine, Instant::now()) {
         count(step, "old");
-        return Err(NoNews::Old(age));
+        return Err(NoUpdates::Old(age));
     }
     count(step, "recent");
     Ok(())
--- a/crates/engine/src/link/client.rs
+++ b/crates/engine/src/link/client.rs
@@ -1,8 +1,8 @@
 //! A link from this process to another one, shared by all sessions.
 
 use super::frame::{
-    ExchangeId, FollowedVersions, FromHome, HomeOutcome, News, RequiredFreshness, RunRequest,
-    ToHome, UnitId, decode, encode,
+    ExchangeId, FollowedVersions, FromHome, HomeOutcome, RequiredFreshness, RunRequest,
+    StoreUpdates, ToHome, UnitId, decode, encode,
 };
 use crate::names::{GroupName, TenantName};
 use crate::ports::{GroupSnapshot, PeerLink};
@@ -42,7 +42,7 @@
 enum Waiter {
     Run(oneshot::Sender<HomeOutcome>),
     Ask(oneshot::Sender<Vec<GroupSnapshot>>),
-    Follow(oneshot::Sender<News>),
+    Follow(oneshot::Sender<StoreUpdates>),
     Draw(oneshot::Sender<Draw>),
     NewestTerm(oneshot::Sender<Option<StoreVersion>>),
 }
@@ -248,7 +248,7 @@
         known: FollowedVersions,
         wait: Duration,
         patience: Duration,
-    ) -> Option<News> {
+    ) -> Option<StoreUpdates> {
         let (tx, mut rx) = oneshot::channel();
         let exchange = self.register(Waiter::Follow(tx));
         let question = ToHome::Follow {
--- a/crates/engine/src/link/frame.rs
+++ b/crates/engine/src/link/frame.rs
@@ -175,7 +175,7 @@
 
 /// What a process that follows the store knows that is newer.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct News {
+pub struct StoreUpdates {
     /// Since when something may have changed that it does not know; `None` where it does not
     /// reach the store now. Counted when the question came, which is after it was sent.
     pub age: Option<Duration>,
@@ -227,7 +227,7 @@
         /// The question.
         exchange: ExchangeId,
         /// The news.
-        news: Box<News>,
+        news: Box<StoreUpdates>,
     },
     /// What came of asking for a permit.
     Drawn {
--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -106,7 +106,7 @@
                 let task = task.clone();
                 tokio::spawn(async move {
                     let wait = wait.min(NEWS_WAIT_MAX);
-                    let news = Box::new(following::news(&task.engine, known, wait).await);
+                    let news = Box::new(following::updates_since(&task.engine, known, wait).await);
                     let answer = FromHome::News { exchange, news };
                     for part in encode_in_parts(exchange, &answer) {
                         if task.tx.send(part).await.is_err() {
