--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -35,16 +35,16 @@
 
 /// Share of the contact time for which a call waits for changes: entries, configuration,
 /// records.
-const FEED_CONTACT_SHARE: f64 = 0.4;
+const FEED_PROPAGATION_SHARE: f64 = 0.4;
 /// The same where others learn of the changes from this process: they wait too.
-const RELAYED_FEED_CONTACT_SHARE: f64 = 0.3;
+const RELAYED_FEED_PROPAGATION_SHARE: f64 = 0.3;
 /// Processes assumed before the fleet is known.
-const FIRST_PROCESSES: usize = 9;
+const INITIAL_PROCESSES: usize = 9;
 /// Configurations that are remembered, to tell others what has changed since: changes come
 /// some sixteen a second at the most, and others ask at least once a second.
-const RECENT_CONFIGURATIONS: usize = 16;
+const CONFIGURATION_HISTORY: usize = 16;
 /// Connections that a member is assumed to accept before the configuration is known.
-const FIRST_MEMBER_CONNECTIONS: usize = 30;
+const INITIAL_MEMBER_CONNECTIONS: usize = 30;
 
 /// Reads that may be sent to a second member because the first is silent.
 const HEDGE_BUDGET: RetryBudgetSettings = RetryBudgetSettings {
@@ -68,9 +68,9 @@
     pub weight: f64,
     /// Time within which a change in the store must be learned of, also where the call that
     /// was to tell it is never answered.
-    pub contact: Duration,
+    pub propagation_bound: Duration,
     /// How long a member that leaves, or has left, may still be given work.
-    pub leaving_use: Duration,
+    pub departure_grace: Duration,
     /// Time within which a change of the configuration must be acted on.
     pub configuration_bound: Duration,
     /// Time within which an evacuation must be acted on; `None` where zones are not evacuated.
@@ -134,7 +134,7 @@
     duty: Arc<Duty>,
     vouching: Vouching,
     /// The lease for promotions as its holder has told it last.
-    promotion_lease_told: watch::Sender<Option<LeaseRecord>>,
+    announced_promotion_lease: watch::Sender<Option<LeaseRecord>>,
     following: Following,
     counters: Counters,
     refusals: Refusals,
@@ -168,7 +168,7 @@
             following,
             duty: Arc::default(),
             vouching: Vouching::default(),
-            promotion_lease_told: watch::Sender::new(None),
+            announced_promotion_lease: watch::Sender::new(None),
             counters: Counters::default(),
             refusals: Refusals::default(),
             slow_starts: SlowStarts::default(),
@@ -184,7 +184,7 @@
             stop: watch::Sender::new(StopPhase::Serving),
             events: EventLog::default(),
             hedges: RetryBudget::new(HEDGE_BUDGET),
-            processes: AtomicUsize::new(FIRST_PROCESSES),
+            processes: AtomicUsize::new(INITIAL_PROCESSES),
         })
     }
 
@@ -244,20 +244,20 @@
         });
         if taken {
             report_unknown_regions(&self.settings.topology, &configuration);
-            self.forget_restricted_pools();
+            self.clear_restricted_pools();
             self.counters.configured(self, &configuration);
-            self.remember_configuration(configuration);
-            self.divide_connections();
+            self.retain_configuration(configuration);
+            self.update_connection_limits();
             self.events
                 .write(&Event::ConfigurationTaken { version, routes });
         }
         taken
     }
 
-    fn remember_configuration(&self, configuration: Arc<Configuration>) {
+    fn retain_configuration(&self, configuration: Arc<Configuration>) {
         let mut recent = lock(&self.recent_configurations);
         recent.push_back(configuration);
-        if recent.len() > RECENT_CONFIGURATIONS {
+        if recent.len() > CONFIGURATION_HISTORY {
             recent.pop_front();
         }
     }
@@ -343,19 +343,19 @@
                 });
             }
         }
-        self.close_pools_except(&directory);
+        self.close_obsolete_pools(&directory);
         self.directory.send_replace(Arc::new(directory));
     }
 
     /// Takes members for gone whose entries have lapsed for too long.
-    pub fn end_lapses(&self) {
+    pub fn expire_lapsed_members(&self) {
         if let Some(next) = self.directory().after_lapses(Instant::now()) {
             self.set_directory(next);
         }
     }
 
     /// Takes `members` into the directory, those of them whose entries it does not know.
-    pub fn remember_members(&self, members: Vec<Member>) {
+    pub fn add_missing_members(&self, members: Vec<Member>) {
         self.directory.send_if_modified(|directory| {
             let next = directory.remembering(members);
             let changed = next.is_some();
@@ -416,7 +416,7 @@
     /// Takes the number of processes in the fleet, and divides the members' connections.
     pub fn set_processes(&self, processes: usize) {
         self.processes.store(processes, Ordering::Relaxed);
-        self.divide_connections();
+        self.update_connection_limits();
     }
 
     /// How long one call that waits for changes in the store may wait: short enough that a
@@ -424,10 +424,10 @@
     /// from others.
     pub fn watch_timeout(&self) -> Duration {
         let share = match following::uses_relays(self) {
-            true => RELAYED_FEED_CONTACT_SHARE,
-            false => FEED_CONTACT_SHARE,
+            true => RELAYED_FEED_PROPAGATION_SHARE,
+            false => FEED_PROPAGATION_SHARE,
         };
-        self.settings.contact.mul_f64(share)
+        self.settings.propagation_bound.mul_f64(share)
     }
 
     /// Processes in the fleet, as far as is known.
@@ -466,8 +466,8 @@
     }
 
     /// The lease for promotions as its holder has told this process last.
-    pub fn promotion_lease_told(&self) -> &watch::Sender<Option<LeaseRecord>> {
-        &self.promotion_lease_told
+    pub fn announced_promotion_lease(&self) -> &watch::Sender<Option<LeaseRecord>> {
+        &self.announced_promotion_lease
     }
 
     /// The homes of the members.
@@ -475,7 +475,7 @@
         &self.homes
     }
 
-    fn divide_connections(&self) {
+    fn update_connection_limits(&self) {
         for pool in lock(&self.pools).values() {
             pool.set_limit(self.connection_share(pool.member()));
         }
@@ -487,7 +487,7 @@
         let settings = configuration.as_ref();
         let settings = settings.and_then(|c| c.groups.get(&member.group));
         Capacity {
-            connections: settings.map_or(FIRST_MEMBER_CONNECTIONS, |s| s.member_connections),
+            connections: settings.map_or(INITIAL_MEMBER_CONNECTIONS, |s| s.member_connections),
             slots: Some(member.slots).filter(|slots| *slots > 0),
         }
     }
@@ -506,26 +506,27 @@
 
     /// Whether this process runs its sessions' statements at `member` over connections of
     /// its own: it is one of its homes, or the fleet is so small that it needs none.
-    pub fn connects_itself(&self, member: &Member) -> bool {
-        self.all_connect(member) || self.homes.is_home(member)
+    pub fn connects_directly(&self, member: &Member) -> bool {
+        self.all_connect_directly(member) || self.homes.is_home(member)
     }
 
     /// Whether all processes run their sessions' statements at `member` over connections of
     /// their own.
-    pub fn all_connect(&self, member: &Member) -> bool {
+    pub fn all_connect_directly(&self, member: &Member) -> bool {
         self.capacity(member).suffices_for(self.processes())
     }
 
     /// Whether this process may have connections to the member called `id`, so that its
     /// traffic tells whether the member answers.
-    pub fn watches(&self, id: &str) -> bool {
+    pub fn monitors_member(&self, id: &str) -> bool {
         let directory = self.directory();
         let member = directory.member(id);
-        member.is_none_or(|member| self.connects_itself(member) || self.homes.is_candidate(member))
+        member
+            .is_none_or(|member| self.connects_directly(member) || self.homes.is_candidate(member))
     }
 
     /// Processes that watch each member of `group`.
-    pub fn watchers(&self, group: &str) -> usize {
+    pub fn monitor_count(&self, group: &str) -> usize {
         let directory = self.directory();
         let members = directory.members_of(group);
         let capacity = members.first().map(|member| self.capacity(member));
@@ -540,7 +541,7 @@
     /// apart for each set of regions: each goes through one process for a while.
     pub fn session_pool(&self, allowed: &Allowed<Arc<Member>>) -> Allowed<Arc<MemberPool>> {
         let member = allowed.get();
-        if self.connects_itself(member) {
+        if self.connects_directly(member) {
             return allowed.with(self.pool(member));
         }
         let residency = allowed.residency();
@@ -558,7 +559,7 @@
     }
 
     /// Forgets the connections of sets of regions, which may never be asked for again.
-    fn forget_restricted_pools(&self) {
+    fn clear_restricted_pools(&self) {
         lock(&self.remote_pools).retain(|(_, residency), _| residency.is_anywhere());
     }
 
@@ -589,13 +590,13 @@
     }
 
     /// The connections to the member called `id`, if it is known.
-    pub fn pool_of(&self, id: &str) -> Option<Arc<MemberPool>> {
+    pub fn pool_by_id(&self, id: &str) -> Option<Arc<MemberPool>> {
         let directory = self.directory();
         directory.member(id).map(|member| self.pool(member))
     }
 
     /// This process's own connections to the member called `id`, if it was ever used.
-    pub fn used_pool(&self, id: &str) -> Option<Arc<MemberPool>> {
+    pub fn existing_pool(&self, id: &str) -> Option<Arc<MemberPool>> {
         lock(&self.pools).get(id).cloned()
     }
 
@@ -606,7 +607,7 @@
 
     /// Closes resting connections to the members of `zone`, those made while no home was
     /// reached included.
-    pub fn close_resting_in(&self, zone: &ZoneName) {
+    pub fn close_idle_connections_in(&self, zone: &ZoneName) {
         let mut pools = self.pools();
         pools.extend(lock(&self.remote_pools).values().cloned());
         let there = pools.iter().filter(|pool| pool.member().zone == *zone);
@@ -644,7 +645,7 @@
             .for_each(|pool| pool.close_unused());
     }
 
-    fn close_pools_except(&self, directory: &Directory) {
+    fn close_obsolete_pools(&self, directory: &Directory) {
         let is_known = |id: &str| directory.member(id).is_some();
         self.homes.retain_members(is_known);
         lock(&self.remote_pools).retain(|(id, _), _| is_known(id));
--- a/crates/engine/src/evacuation/keeper.rs
+++ b/crates/engine/src/evacuation/keeper.rs
@@ -50,7 +50,7 @@
 }
 
 fn close(engine: &Engine, zone: &ZoneName, learned: Option<Instant>) {
-    engine.close_resting_in(zone);
+    engine.close_idle_connections_in(zone);
     engine.events().write(&Event::ZoneClosed {
         zone: zone.clone(),
         version: engine.evacuations().version,
--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -66,7 +66,7 @@
 const TAKING_LOOK: Duration = Duration::from_millis(1);
 /// How long after its start a process may wait for others that are starting too, as a share of the
 /// time within which a change must be known; then it turns to the store itself.
-const STARTING_CONTACT_SHARE: f64 = 0.6;
+const STARTING_PROPAGATION_SHARE: f64 = 0.6;
 /// Pause before one that is starting is asked again: its answer was held for a wait before.
 const STARTING_PAUSE: Duration = Duration::from_millis(20);
 /// Pause after nobody told anything, and of a process that follows by itself.
@@ -87,7 +87,7 @@
 /// How often that pause doubles while the store goes on failing, at the most.
 const MAX_DOUBLINGS: u32 = 6;
 /// Longest pause, as a share of the time within which a change must be known.
-const RETRY_CONTACT_SHARE: f64 = 0.15;
+const RETRY_PROPAGATION_SHARE: f64 = 0.15;
 
 /// What is followed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -448,7 +448,10 @@
         true => failures.saturating_sub(1).min(MAX_DOUBLINGS),
         false => 0,
     };
-    let longest = engine.settings().contact.mul_f64(RETRY_CONTACT_SHARE);
+    let longest = engine
+        .settings()
+        .propagation_bound
+        .mul_f64(RETRY_PROPAGATION_SHARE);
     let pause = (RETRY_PAUSE * 2_u32.pow(doublings)).min(longest.max(RETRY_PAUSE));
     pause.mul_f64(1.0 + rand::random::<f64>())
 }
@@ -542,7 +545,10 @@
 /// they all read whole tables, the store would be as slow as to keep it from learning, too.
 fn is_starting(engine: &Engine) -> bool {
     let following = engine.following();
-    let longest = engine.settings().contact.mul_f64(STARTING_CONTACT_SHARE);
+    let longest = engine
+        .settings()
+        .propagation_bound
+        .mul_f64(STARTING_PROPAGATION_SHARE);
     let is_young = following.began.elapsed() < longest;
     is_young && following.current_as_of().is_none() && !following.is_failing()
 }
--- a/crates/engine/src/home/mod.rs
+++ b/crates/engine/src/home/mod.rs
@@ -103,7 +103,7 @@
     let leader = group.view().leader;
     let directory = engine.directory();
     let member = leader.and_then(|leader| directory.member(&leader).cloned());
-    let Some(member) = member.filter(|member| !engine.connects_itself(member)) else {
+    let Some(member) = member.filter(|member| !engine.connects_directly(member)) else {
         return false;
     };
     let asked = Instant::now();
--- a/crates/engine/src/leadership/duty.rs
+++ b/crates/engine/src/leadership/duty.rs
@@ -142,7 +142,7 @@
         )
         .reclaiming_earlier_lives();
         let mut stop = engine.subscribe_stop();
-        let mut told = engine.promotion_lease_told().subscribe();
+        let mut told = engine.announced_promotion_lease().subscribe();
         let mut next_at = Instant::now();
         loop {
             let is_told = tokio::select! {
--- a/crates/engine/src/leadership/mod.rs
+++ b/crates/engine/src/leadership/mod.rs
@@ -70,7 +70,7 @@
 async fn end_lapses(engine: &Engine) {
     loop {
         sleep(LAPSE_INTERVAL).await;
-        engine.end_lapses();
+        engine.expire_lapsed_members();
     }
 }
 
--- a/crates/engine/src/leadership/roster.rs
+++ b/crates/engine/src/leadership/roster.rs
@@ -211,5 +211,5 @@
         state: MemberState::Gone(departure),
         changed: 0,
     });
-    engine.remember_members(members.collect());
+    engine.add_missing_members(members.collect());
 }
--- a/crates/engine/src/leadership/suspicion.rs
+++ b/crates/engine/src/leadership/suspicion.rs
@@ -81,7 +81,7 @@
         _ => {}
     }
     let lasts = |since: Option<Instant>, limit| since.is_some_and(|at| now >= at + limit);
-    let health = engine.used_pool(&leader.id).map(|pool| pool.health());
+    let health = engine.existing_pool(&leader.id).map(|pool| pool.health());
     if let Some(health) = health
         && (lasts(health.unreachable_since(), UNREACHABLE) || lasts(health.silent_since(), SILENCE))
     {
@@ -121,7 +121,7 @@
     let MemberState::Gone(gone) = leader.state else {
         return Some(Suspicion::EntryGone);
     };
-    let patience = engine.settings().leaving_use.mul_f64(ANSWERING_SHARE);
+    let patience = engine.settings().departure_grace.mul_f64(ANSWERING_SHARE);
     if gone.may_be_older_than(patience, Instant::now()) {
         return Some(Suspicion::EntryGone);
     }
--- a/crates/engine/src/leadership/watcher.rs
+++ b/crates/engine/src/leadership/watcher.rs
@@ -147,7 +147,7 @@
         let reporters = self.reporters(group.name(), view.epoch);
         let asked_to = holds_duty && reporters > 0;
         let verified = suspicion::verified_suspicion(&self.engine, group, &view, asked_to).await;
-        let needed = REPORTERS_NEEDED.max(self.engine.watchers(group.name()).div_ceil(3));
+        let needed = REPORTERS_NEEDED.max(self.engine.monitor_count(group.name()).div_ceil(3));
         let outvoted = reporters >= needed;
         let mut suspicion = verified.or(outvoted.then_some(Suspicion::Unreachable));
         if suspicion.is_none() && holds_duty && self.may_move(group.name()).await {
@@ -165,7 +165,7 @@
             return;
         }
         if suspicion == Suspicion::Unreachable
-            && let Some(pool) = self.engine.pool_of(&leader)
+            && let Some(pool) = self.engine.pool_by_id(&leader)
         {
             pool.lose_idle();
         }
@@ -178,7 +178,7 @@
         });
         if self.duty.check().is_some() {
             self.promote(group.name()).await;
-        } else if self.engine.watches(&leader) {
+        } else if self.engine.monitors_member(&leader) {
             self.duty.want();
             self.report(group.name(), view.epoch, suspicion).await;
             sleep(REPORTED_PAUSE).await;
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -159,7 +159,7 @@
     match state {
         MemberState::Ready | MemberState::Lapsed(_) => false,
         MemberState::Leaving(departure) | MemberState::Gone(departure) => {
-            departure.may_be_older_than(engine.settings().leaving_use, now)
+            departure.may_be_older_than(engine.settings().departure_grace, now)
         }
     }
 }
--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -137,7 +137,7 @@
             }
             Some(ToHome::PromotionLease(record)) => {
                 task.engine
-                    .promotion_lease_told()
+                    .announced_promotion_lease()
                     .send_replace(Some(*record));
             }
             Some(ToHome::AskNewestTerm { exchange }) => {
--- a/crates/engine/src/slow_start/allot.rs
+++ b/crates/engine/src/slow_start/allot.rs
@@ -165,7 +165,7 @@
     if first.is_empty() {
         return Senders::All(vec![engine.settings().node.clone()]);
     }
-    if !engine.all_connect(member) {
+    if !engine.all_connect_directly(member) {
         first.truncate(CANDIDATES);
         return Senders::Candidates(first);
     }
--- a/crates/engine/src/slow_start/mod.rs
+++ b/crates/engine/src/slow_start/mod.rs
@@ -224,7 +224,7 @@
 
 /// How old what is known of the records may be while a share is used.
 pub(crate) fn knowledge_limit(engine: &Engine) -> Duration {
-    engine.settings().contact * KNOWLEDGE_CONTACTS
+    engine.settings().propagation_bound * KNOWLEDGE_CONTACTS
 }
 
 /// Time after which an allotment that has replaced another is used by everybody, and the one
--- a/crates/engine/tests/departures.rs
+++ b/crates/engine/tests/departures.rs
@@ -38,7 +38,7 @@
     };
     advance(Duration::from_millis(waited_ms)).await;
     let engine = &fleet.nodes[0].engine;
-    assert_eq!(engine.settings().leaving_use, USE);
+    assert_eq!(engine.settings().departure_grace, USE);
     for state in [
         MemberState::Leaving(departure),
         MemberState::Gone(departure),
--- a/crates/engine/tests/evacuation.rs
+++ b/crates/engine/tests/evacuation.rs
@@ -382,7 +382,7 @@
     let member = Arc::clone(directory.member("a").expect("a member"));
     let candidates = fleet.nodes[0].engine.homes().candidates(&member);
     let home = candidates[rank].node.to_string();
-    let is_away = |node: &&support::Node| !node.engine.connects_itself(&member);
+    let is_away = |node: &&support::Node| !node.engine.connects_directly(&member);
     let front = fleet.nodes.iter().rev().find(is_away).expect("a process");
     fleet.records.ignore_node(&home);
     for node in &fleet.nodes {
--- a/crates/engine/tests/support/mod.rs
+++ b/crates/engine/tests/support/mod.rs
@@ -222,8 +222,8 @@
             topology: Topology::new(Arc::from(zone), (self.regions)(name)),
             peer_address: Some(MemoryPeers::address_of(name)),
             weight: 1.0,
-            contact: Duration::from_secs(4),
-            leaving_use: Duration::from_secs(4),
+            propagation_bound: Duration::from_secs(4),
+            departure_grace: Duration::from_secs(4),
             configuration_bound: Duration::from_secs(3),
             evacuation_bound: self.evacuation_bound,
             slow_start: SlowStartBounds {
