--- a/crates/daemon/src/run/data_path.rs
+++ b/crates/daemon/src/run/data_path.rs
@@ -32,7 +32,7 @@
     callers: TcpListener,
     peer: TcpListener,
 ) -> DataPath {
-    let events = Arc::new(EventLog::of_node(settings.node.id.as_str().into()));
+    let events = Arc::new(EventLog::for_node(settings.node.id.as_str().into()));
     let home = HomeService::new(HomeContext {
         node: settings.node.id.clone(),
         zone: settings.node.zone.clone(),
--- a/crates/engine/src/configuration.rs
+++ b/crates/engine/src/configuration.rs
@@ -127,36 +127,36 @@
     /// let earlier = Configuration { version: 1, ..Default::default() };
     /// let later = Configuration { version: 4, ..Default::default() };
     /// let changes = later.changes_since(&earlier);
-    /// assert_eq!(earlier.with(changes), Some(later));
+    /// assert_eq!(earlier.apply(changes), Some(later));
     /// ```
     pub fn changes_since(&self, earlier: &Self) -> ConfigurationChanges {
         ConfigurationChanges {
             from: earlier.version,
             version: self.version,
-            routes: differing(&self.routes, &earlier.routes),
-            removed_routes: missing(&self.routes, &earlier.routes),
-            groups: differing(&self.groups, &earlier.groups),
-            removed_groups: missing(&self.groups, &earlier.groups),
-            tenants: differing(&self.tenants, &earlier.tenants),
-            removed_tenants: missing(&self.tenants, &earlier.tenants),
-            credentials: differing(&self.credentials, &earlier.credentials),
-            removed_credentials: missing(&self.credentials, &earlier.credentials),
+            routes: changed_entries(&self.routes, &earlier.routes),
+            removed_routes: removed_keys(&self.routes, &earlier.routes),
+            groups: changed_entries(&self.groups, &earlier.groups),
+            removed_groups: removed_keys(&self.groups, &earlier.groups),
+            tenants: changed_entries(&self.tenants, &earlier.tenants),
+            removed_tenants: removed_keys(&self.tenants, &earlier.tenants),
+            credentials: changed_entries(&self.credentials, &earlier.credentials),
+            removed_credentials: removed_keys(&self.credentials, &earlier.credentials),
             transaction_idle: self.transaction_idle,
         }
     }
 
     /// This configuration with `changes`; `None` where they are of another version.
-    pub fn with(&self, changes: ConfigurationChanges) -> Option<Self> {
+    pub fn apply(&self, changes: ConfigurationChanges) -> Option<Self> {
         if changes.from != self.version {
             return None;
         }
         let mut next = self.clone();
         next.version = changes.version;
         next.transaction_idle = changes.transaction_idle;
-        change(&mut next.routes, changes.routes, &changes.removed_routes);
-        change(&mut next.groups, changes.groups, &changes.removed_groups);
-        change(&mut next.tenants, changes.tenants, &changes.removed_tenants);
-        change(
+        apply_changes(&mut next.routes, changes.routes, &changes.removed_routes);
+        apply_changes(&mut next.groups, changes.groups, &changes.removed_groups);
+        apply_changes(&mut next.tenants, changes.tenants, &changes.removed_tenants);
+        apply_changes(
             &mut next.credentials,
             changes.credentials,
             &changes.removed_credentials,
@@ -181,7 +181,11 @@
 }
 
 /// Takes what is new or different into `entries`, and drops what was removed.
-fn change<K: Eq + Hash, V>(entries: &mut HashMap<K, V>, changed: HashMap<K, V>, removed: &[K]) {
+fn apply_changes<K: Eq + Hash, V>(
+    entries: &mut HashMap<K, V>,
+    changed: HashMap<K, V>,
+    removed: &[K],
+) {
     for key in removed {
         entries.remove(key);
     }
@@ -189,7 +193,7 @@
 }
 
 /// The entries of `later` that `earlier` has not, or has otherwise.
-fn differing<K: Clone + Eq + Hash, V: Clone + PartialEq>(
+fn changed_entries<K: Clone + Eq + Hash, V: Clone + PartialEq>(
     later: &HashMap<K, V>,
     earlier: &HashMap<K, V>,
 ) -> HashMap<K, V> {
@@ -201,7 +205,7 @@
 }
 
 /// The keys in `earlier` that `later` has not.
-fn missing<K: Clone + Eq + Hash, V>(later: &HashMap<K, V>, earlier: &HashMap<K, V>) -> Vec<K> {
+fn removed_keys<K: Clone + Eq + Hash, V>(later: &HashMap<K, V>, earlier: &HashMap<K, V>) -> Vec<K> {
     let keys = earlier.keys();
     keys.filter(|key| !later.contains_key(*key))
         .cloned()
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -655,7 +655,7 @@
             let known = is_known(id);
             if !known {
                 pool.close();
-                telemetry::forget_member(id);
+                telemetry::reset_member_gauges(id);
             } else if directory.has_ended(pool.member()) {
                 pool.end();
             }
--- a/crates/engine/src/events.rs
+++ b/crates/engine/src/events.rs
@@ -297,7 +297,7 @@
 #[derive(Debug)]
 struct ClassBudget {
     tokens: f64,
-    settled: Instant,
+    refilled_at: Instant,
     suppressed: u64,
 }
 
@@ -305,7 +305,7 @@
     fn new(class: EventClass, now: Instant) -> Self {
         Self {
             tokens: budget_per_second(class) * BURST_SECONDS,
-            settled: now,
+            refilled_at: now,
             suppressed: 0,
         }
     }
@@ -313,9 +313,9 @@
     /// The number suppressed before, if the event may be written.
     fn admit(&mut self, class: EventClass, now: Instant) -> Option<u64> {
         let rate = budget_per_second(class);
-        let earned = now.duration_since(self.settled).as_secs_f64() * rate;
+        let earned = now.duration_since(self.refilled_at).as_secs_f64() * rate;
         self.tokens = (self.tokens + earned).min(rate * BURST_SECONDS);
-        self.settled = now;
+        self.refilled_at = now;
         if self.tokens < 1.0 {
             self.suppressed += 1;
             return None;
@@ -327,7 +327,7 @@
 
 /// An event as it is written.
 #[derive(Serialize)]
-struct WrittenEvent<'a> {
+struct EventLine<'a> {
     #[serde(flatten)]
     event: &'a Event,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -365,7 +365,7 @@
 
 impl EventLog {
     /// A log whose events name `node`.
-    pub fn of_node(node: NodeName) -> Self {
+    pub fn for_node(node: NodeName) -> Self {
         Self {
             node: Some(node),
             ..Self::default()
@@ -379,7 +379,7 @@
             metrics::counter!("stilequay_events_suppressed_total").increment(1);
             return;
         };
-        let written = WrittenEvent {
+        let written = EventLine {
             event,
             node: self.node.as_deref(),
             suppressed_before,
@@ -394,7 +394,7 @@
     pub fn has_budget(&self, class: EventClass) -> bool {
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         let budget = &mut budgets[class as usize];
-        let earned = budget.settled.elapsed().as_secs_f64() * budget_per_second(class);
+        let earned = budget.refilled_at.elapsed().as_secs_f64() * budget_per_second(class);
         let available = budget.tokens + earned >= 1.0;
         if !available {
             budget.suppressed += 1;
@@ -432,7 +432,7 @@
     }
 
     /// Takes what came of the latest use: nothing, or why it failed.
-    pub fn note(&mut self, log: &EventLog, failure: Option<String>) {
+    pub fn record_outcome(&mut self, log: &EventLog, failure: Option<String>) {
         let available = failure.is_none();
         if self.available == available {
             return;
--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -319,7 +319,7 @@
             Source::Store => follow_store(engine, &mut search).await,
             Source::Peers(peers) => {
                 let learned = follow_peers(engine, &peers, &mut search).await;
-                dependency.note(engine.events(), learned.err());
+                dependency.record_outcome(engine.events(), learned.err());
             }
         }
     }
--- a/crates/engine/src/leadership/follower.rs
+++ b/crates/engine/src/leadership/follower.rs
@@ -212,7 +212,7 @@
             match result {
                 Ok(changes) => {
                     failures = 0;
-                    dependency.note(engine.events(), None);
+                    dependency.record_outcome(engine.events(), None);
                     let whole = version.is_none();
                     self.apply(engine, &changes, whole.then_some(begun));
                     self.note_read();
@@ -236,7 +236,7 @@
                 Err(error) => {
                     failures += 1;
                     engine.following().mark_failed(Feed::Records, failures);
-                    dependency.note(engine.events(), Some(error.to_string()));
+                    dependency.record_outcome(engine.events(), Some(error.to_string()));
                     if !following::uses_relays(engine) {
                         peers::query(engine, &engine.directory().groups()).await;
                     }
--- a/crates/engine/src/leadership/roster.rs
+++ b/crates/engine/src/leadership/roster.rs
@@ -12,7 +12,7 @@
 use crate::encoding;
 use crate::engine::Engine;
 use crate::names::{GroupName, MemberId, ZoneName};
-use crate::ports::{PUTS_AT_ONCE, PutOutcome, Record, RecordPut, RecordStoreError};
+use crate::ports::{MAX_PUTS_PER_CALL, PutOutcome, Record, RecordPut, RecordStoreError};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -100,7 +100,7 @@
                 Comparison::Due(put) => due.push(put),
             }
         }
-        for puts in due.chunks(PUTS_AT_ONCE) {
+        for puts in due.chunks(MAX_PUTS_PER_CALL) {
             if let Err(error) = write(engine, puts).await {
                 is_done = false;
                 log::warn!(
--- a/crates/engine/src/peers/declared.rs
+++ b/crates/engine/src/peers/declared.rs
@@ -184,7 +184,7 @@
         DeclaredConfiguration::Whole(configuration) => Some(configuration),
         DeclaredConfiguration::Changes(changes) => {
             let known = engine.configuration();
-            known.and_then(|known| known.with(changes))
+            known.and_then(|known| known.apply(changes))
         }
     };
     match configuration {
--- a/crates/engine/src/ports/mod.rs
+++ b/crates/engine/src/ports/mod.rs
@@ -16,5 +16,5 @@
 };
 pub use promoter::{PromoteError, Promoter, PromotionOrder};
 pub use record_store::{
-    PUTS_AT_ONCE, PutOutcome, Record, RecordChanges, RecordPut, RecordStore, RecordStoreError,
+    MAX_PUTS_PER_CALL, PutOutcome, Record, RecordChanges, RecordPut, RecordStore, RecordStoreError,
 };
--- a/crates/engine/src/ports/record_store.rs
+++ b/crates/engine/src/ports/record_store.rs
@@ -9,7 +9,7 @@
 
 /// Records that one call writes, at the most. A store that takes 100 entries in one call counts
 /// each condition like a write.
-pub const PUTS_AT_ONCE: usize = 48;
+pub const MAX_PUTS_PER_CALL: usize = 48;
 
 /// A record as the store has it.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -95,7 +95,7 @@
         wait: Duration,
     ) -> Result<RecordChanges, RecordStoreError>;
 
-    /// Writes all records of `puts`, up to [`PUTS_AT_ONCE`], or none where a condition does not
+    /// Writes all records of `puts`, up to [`MAX_PUTS_PER_CALL`], or none where a condition does not
     /// hold.
     async fn put_all(&self, puts: &[RecordPut]) -> Result<PutOutcome, RecordStoreError>;
 
--- a/crates/engine/src/telemetry.rs
+++ b/crates/engine/src/telemetry.rs
@@ -249,7 +249,7 @@
 }
 
 /// Zeroes the gauges of a member that is no longer known.
-pub fn forget_member(member: &str) {
+pub fn reset_member_gauges(member: &str) {
     PoolGauges::default().record(member);
 }
 
--- a/crates/engine/src/tenant.rs
+++ b/crates/engine/src/tenant.rs
@@ -26,7 +26,7 @@
 
 impl Credential {
     /// The digest of `key`.
-    pub fn of_key(key: &[u8]) -> Self {
+    pub fn from_key(key: &[u8]) -> Self {
         let digest = Sha256::digest(key);
         let mut kept = [0; DIGEST_BYTES];
         kept.copy_from_slice(&digest[..DIGEST_BYTES]);
--- a/crates/engine/tests/following.rs
+++ b/crates/engine/tests/following.rs
@@ -31,7 +31,7 @@
 const LOOK: Duration = Duration::from_millis(50);
 
 fn credential() -> Credential {
-    Credential::of_key(b"key-1")
+    Credential::from_key(b"key-1")
 }
 
 fn with_tenant() -> Configuration {
--- a/crates/engine/tests/peers.rs
+++ b/crates/engine/tests/peers.rs
@@ -229,9 +229,9 @@
         panic!("{:?}", told.configuration);
     };
     assert_eq!((changes.routes.len(), changes.removed_routes.len()), (1, 1));
-    assert_eq!(first.with(changes.clone()), Some(later.clone()));
+    assert_eq!(first.apply(changes.clone()), Some(later.clone()));
     // They are of no use to who knows another version.
-    assert_eq!(later.with(changes), None);
+    assert_eq!(later.apply(changes), None);
     let directory = told.directory.expect("members");
     assert_eq!(directory.extent, DeclaredExtent::Changes);
     let names = directory.members.iter().map(|member| &*member.id);
--- a/crates/engine/tests/rate.rs
+++ b/crates/engine/tests/rate.rs
@@ -39,7 +39,7 @@
     next.version = version;
     next.tenants.insert(TENANT.into(), Arc::new(tenant));
     next.credentials
-        .insert(Credential::of_key(KEY), TENANT.into());
+        .insert(Credential::from_key(KEY), TENANT.into());
     next
 }
 
@@ -137,7 +137,7 @@
     loop {
         let engine = Arc::clone(&engine);
         asking.spawn(async move {
-            let credential = Some(Credential::of_key(KEY));
+            let credential = Some(Credential::from_key(KEY));
             let database = LEADER_DATABASE.into();
             let opened = stilequay_engine::session::Session::open(engine, database, credential);
             let Ok(session) = opened.await else { return };
@@ -262,7 +262,7 @@
         }
         let node = asking[round % asking.len()];
         let engine = &fleet.nodes[node].engine;
-        let credential = Some(Credential::of_key(KEY));
+        let credential = Some(Credential::from_key(KEY));
         let mut client = Client::open_with(engine, LEADER_DATABASE, credential);
         let began = Instant::now();
         if let Err(failure) = client.read("x").await.outcome
@@ -283,7 +283,7 @@
         burst: 3.0,
     };
     let fleet = fleet_with(3, limit).await;
-    let credential = Some(Credential::of_key(KEY));
+    let credential = Some(Credential::from_key(KEY));
     let mut client = Client::open_with(&fleet.nodes[0].engine, LEADER_DATABASE, credential);
     for _ in 0..40 {
         let began = Instant::now();
@@ -459,7 +459,7 @@
     let mut last = Instant::now();
     for round in 0..300 {
         let engine = &fleet.nodes[asking[round % asking.len()]].engine;
-        let credential = Some(Credential::of_key(KEY));
+        let credential = Some(Credential::from_key(KEY));
         let mut client = Client::open_with(engine, LEADER_DATABASE, credential);
         let began = Instant::now();
         if let Err(failure) = client.read("x").await.outcome {
--- a/crates/engine/tests/rate_partial.rs
+++ b/crates/engine/tests/rate_partial.rs
@@ -52,7 +52,7 @@
     next.version = 2;
     next.tenants.insert("busy".into(), tenant());
     next.credentials
-        .insert(Credential::of_key(KEY), "busy".into());
+        .insert(Credential::from_key(KEY), "busy".into());
     fleet.configuration.send_replace(next);
     until(|| (0..SHARDS).all(|shard| counter_of(&fleet, shard).is_some())).await;
     sleep(Duration::from_secs(16)).await;
@@ -262,7 +262,7 @@
 async fn a_process_without_a_leader_draws_no_permit() {
     let fleet = fleet().await;
     let engine = &fleet.nodes[0].engine;
-    let credential = Some(Credential::of_key(KEY));
+    let credential = Some(Credential::from_key(KEY));
     let mut client = Client::open_with(engine, LEADER_DATABASE, credential);
     assert!(client.read("x").await.outcome.is_ok());
     cut(&fleet, 0, &[0]);
--- a/crates/engine/tests/residency.rs
+++ b/crates/engine/tests/residency.rs
@@ -276,7 +276,7 @@
     #[case] allowed: Option<&[&str]>,
 ) {
     let mut next = with_homes(2, &[(BOUNDED_DATABASE, route)]);
-    let credential = Credential::of_key(b"key");
+    let credential = Credential::from_key(b"key");
     next.credentials.insert(credential, Arc::from("one"));
     let tenant = Tenant {
         name: Arc::from("one"),
--- a/crates/engine/tests/tenants.rs
+++ b/crates/engine/tests/tenants.rs
@@ -34,7 +34,7 @@
 }
 
 fn credential(key: &str) -> Credential {
-    Credential::of_key(key.as_bytes())
+    Credential::from_key(key.as_bytes())
 }
 
 /// A configuration of `version` with tenants and their keys.
