--- a/crates/engine/src/link/client.rs
+++ b/crates/engine/src/link/client.rs
@@ -20,26 +20,26 @@
 
 /// How long other links are preferred to one whose far end knows too little; doubled each time
 /// that it still does.
-const DISTRUST: Duration = Duration::from_millis(700);
+const DEPRIORITIZED_FOR: Duration = Duration::from_millis(700);
 /// How often that is doubled, at the most.
-const DISTRUST_DOUBLINGS: u32 = 3;
+const MAX_DEPRIORITIZATION_DOUBLINGS: u32 = 3;
 /// Interval in which a link is looked after.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Silence after which a home that owes an answer is pinged.
 const PING_AFTER: Duration = Duration::from_millis(80);
 /// Silence after a ping with which the home counts as lost for the time being.
 pub const SUSPECT_AFTER: Duration = Duration::from_millis(200);
 /// Silence after a ping that ends the link.
-const LOST_AFTER: Duration = Duration::from_secs(3);
+const PING_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time without a word after which a link is tried before a request is given to it: the other
 /// side may be lost, and the request would be the one to find out.
-const DOUBTED_AFTER: Duration = Duration::from_secs(2);
+const PROBE_AFTER: Duration = Duration::from_secs(2);
 /// How long a link is kept that nothing is asked on.
-const IDLE_LIMIT: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a home owes.
 #[derive(Debug)]
-enum Waiter {
+enum ReplySender {
     Run(oneshot::Sender<HomeOutcome>),
     Ask(oneshot::Sender<Vec<GroupSnapshot>>),
     Follow(oneshot::Sender<StoreUpdates>),
@@ -49,21 +49,21 @@
 
 #[derive(Debug)]
 struct LinkState {
-    next: u64,
-    waiters: HashMap<ExchangeId, Waiter>,
+    next_id: u64,
+    reply_senders: HashMap<ExchangeId, ReplySender>,
     /// Answers of which parts have come, and when the last of these did.
-    partial: HashMap<ExchangeId, (Vec<u8>, Instant)>,
-    heard: Instant,
-    /// When the last word came; `heard` may count from a question.
-    last_word: Instant,
-    pinged: Option<Instant>,
-    used: Instant,
+    partial_answers: HashMap<ExchangeId, (Vec<u8>, Instant)>,
+    last_activity: Instant,
+    /// When the last word came; `last_activity` may count from a question.
+    last_received: Instant,
+    pinged_at: Option<Instant>,
+    last_used: Instant,
     /// Whether the other links were told that this one has gone silent.
-    told: bool,
+    suspicion_reported: bool,
     leaving: bool,
-    distrusted_until: Option<Instant>,
+    deprioritized_until: Option<Instant>,
     /// How often in a row the far end knew too little.
-    disappointments: u32,
+    consecutive_stale_answers: u32,
     closed: bool,
 }
 
@@ -73,56 +73,56 @@
     tx: mpsc::Sender<Bytes>,
     state: Mutex<LinkState>,
     /// Wakes the task that looks after the link.
-    asked: Notify,
+    request_registered: Notify,
     /// Wakes those that wait for a word.
-    spoke: Notify,
+    frame_received: Notify,
     /// What is done once it has gone silent.
-    on_silence: OnSilence,
+    on_suspect: OnSuspect,
 }
 
 /// What is done once a link has gone silent.
-pub(super) struct OnSilence(pub Box<dyn Fn() + Send + Sync>);
+pub(super) struct OnSuspect(pub Box<dyn Fn() + Send + Sync>);
 
-impl fmt::Debug for OnSilence {
+impl fmt::Debug for OnSuspect {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("OnSilence(..)")
+        f.write_str("OnSuspect(..)")
     }
 }
 
 impl Link {
     /// Takes an open link into use, and reads what comes over it in a task of its own.
-    pub(super) fn spawn(link: PeerLink, on_silence: OnSilence) -> Arc<Self> {
+    pub(super) fn spawn(link: PeerLink, on_suspect: OnSuspect) -> Arc<Self> {
         let now = Instant::now();
         let opened = Arc::new(Self {
             tx: link.tx,
             state: Mutex::new(LinkState {
-                next: 1,
-                waiters: HashMap::new(),
-                partial: HashMap::new(),
-                heard: now,
-                last_word: now,
-                pinged: None,
-                used: now,
-                told: false,
+                next_id: 1,
+                reply_senders: HashMap::new(),
+                partial_answers: HashMap::new(),
+                last_activity: now,
+                last_received: now,
+                pinged_at: None,
+                last_used: now,
+                suspicion_reported: false,
                 leaving: false,
-                distrusted_until: None,
-                disappointments: 0,
+                deprioritized_until: None,
+                consecutive_stale_answers: 0,
                 closed: false,
             }),
-            asked: Notify::new(),
-            spoke: Notify::new(),
-            on_silence,
+            request_registered: Notify::new(),
+            frame_received: Notify::new(),
+            on_suspect,
         });
         let reading = Arc::clone(&opened);
         tokio::spawn(async move {
             tokio::select! {
                 () = reading.read(link.rx) => {}
-                () = reading.look_after() => {}
+                () = reading.monitor() => {}
             }
             let mut state = reading.lock();
             state.closed = true;
             // Whoever waits learns that the link has ended.
-            state.waiters.clear();
+            state.reply_senders.clear();
         });
         opened
     }
@@ -131,12 +131,12 @@
     pub fn is_usable(&self) -> bool {
         let state = self.lock();
         let now = Instant::now();
-        let distrusted = state.distrusted_until.is_some_and(|until| now < until);
-        !state.leaving && !distrusted && state.is_alive(now)
+        let deprioritized = state.deprioritized_until.is_some_and(|until| now < until);
+        !state.leaving && !deprioritized && state.is_alive(now)
     }
 
     /// Whether nothing was heard for so long that another link is to take this one's place.
-    pub(super) fn is_silent(&self) -> bool {
+    pub(super) fn is_suspect(&self) -> bool {
         let state = self.lock();
         !state.leaving && !state.is_alive(Instant::now())
     }
@@ -146,46 +146,46 @@
     /// another.
     pub fn report_timeout(&self, asked: Instant) {
         let mut state = self.lock();
-        if state.heard <= asked {
-            state.pinged.get_or_insert(asked);
+        if state.last_activity <= asked {
+            state.pinged_at.get_or_insert(asked);
         }
         drop(state);
-        self.asked.notify_one();
-        self.tell_silence();
+        self.request_registered.notify_one();
+        self.report_suspicion();
     }
 
     /// Tells once that the link has gone silent.
-    fn tell_silence(&self) {
+    fn report_suspicion(&self) {
         let mut state = self.lock();
-        if state.told || state.is_alive(Instant::now()) {
+        if state.suspicion_reported || state.is_alive(Instant::now()) {
             return;
         }
-        state.told = true;
+        state.suspicion_reported = true;
         drop(state);
-        (self.on_silence.0)();
+        (self.on_suspect.0)();
     }
 
     /// Asks for a sign, unless one is asked for already.
     pub fn ping(&self) {
         let mut state = self.lock();
-        if state.closed || state.pinged.is_some() {
+        if state.closed || state.pinged_at.is_some() {
             return;
         }
-        state.pinged = Some(Instant::now());
+        state.pinged_at = Some(Instant::now());
         drop(state);
         self.send(&ToHome::Ping);
     }
 
     /// Whether the other side has said something lately, or says something by `until`.
-    pub(super) async fn is_confirmed(&self, until: Instant) -> bool {
+    pub(super) async fn is_responsive(&self, until: Instant) -> bool {
         let began = Instant::now();
-        if began < self.lock().last_word + DOUBTED_AFTER {
+        if began < self.lock().last_received + PROBE_AFTER {
             return true;
         }
-        let mut spoke = pin!(self.spoke.notified());
-        spoke.as_mut().enable();
+        let mut frame_received = pin!(self.frame_received.notified());
+        frame_received.as_mut().enable();
         self.ping();
-        timeout_at(until, spoke).await.is_ok()
+        timeout_at(until, frame_received).await.is_ok()
     }
 
     /// Whether what was begun here may go on here.
@@ -199,18 +199,18 @@
 
     /// A number for a unit that begins now.
     pub fn begin_unit(&self) -> UnitId {
-        self.lock().next_number()
+        self.lock().allocate_id()
     }
 
     /// Sends a command; `None` where it was not sent. What is returned resolves with an
     /// error where the link ends first.
     pub fn run(&self, mut request: RunRequest) -> Option<oneshot::Receiver<HomeOutcome>> {
         let (tx, rx) = oneshot::channel();
-        request.exchange = self.register(Waiter::Run(tx));
+        request.exchange = self.register(ReplySender::Run(tx));
         let exchange = request.exchange;
         let sent = self.send(&ToHome::Run(Box::new(request)));
         if !sent {
-            self.lock().waiters.remove(&exchange);
+            self.lock().reply_senders.remove(&exchange);
         }
         sent.then_some(rx)
     }
@@ -227,7 +227,7 @@
         wanted: RequiredFreshness,
     ) -> Option<Vec<GroupSnapshot>> {
         let (tx, rx) = oneshot::channel();
-        let exchange = self.register(Waiter::Ask(tx));
+        let exchange = self.register(ReplySender::Ask(tx));
         let question = ToHome::Ask {
             exchange,
             group: group.clone(),
@@ -250,7 +250,7 @@
         patience: Duration,
     ) -> Option<StoreUpdates> {
         let (tx, mut rx) = oneshot::channel();
-        let exchange = self.register(Waiter::Follow(tx));
+        let exchange = self.register(ReplySender::Follow(tx));
         let question = ToHome::Follow {
             exchange,
             known,
@@ -265,7 +265,7 @@
                 Ok(news) => return news.ok(),
                 Err(_) => {
                     until = self
-                        .last_part(exchange)
+                        .last_part_at(exchange)
                         .filter(|at| *at + patience > until)?
                         + patience
                 }
@@ -277,11 +277,17 @@
     pub fn is_receiving(&self, patience: Duration) -> bool {
         let now = Instant::now();
         let state = self.lock();
-        state.partial.values().any(|(_, at)| now < *at + patience)
+        state
+            .partial_answers
+            .values()
+            .any(|(_, at)| now < *at + patience)
     }
 
-    fn last_part(&self, exchange: ExchangeId) -> Option<Instant> {
-        self.lock().partial.get(&exchange).map(|(_, at)| *at)
+    fn last_part_at(&self, exchange: ExchangeId) -> Option<Instant> {
+        self.lock()
+            .partial_answers
+            .get(&exchange)
+            .map(|(_, at)| *at)
     }
 
     /// Asks for a permit for one operation of `tenant`, or, unless it `takes` one, whether
@@ -293,7 +299,7 @@
         takes: bool,
     ) -> Option<Draw> {
         let (tx, rx) = oneshot::channel();
-        let exchange = self.register(Waiter::Draw(tx));
+        let exchange = self.register(ReplySender::Draw(tx));
         let question = ToHome::Draw {
             exchange,
             shard,
@@ -310,7 +316,7 @@
     /// which it tells while it holds the lease; `None` where the link ends first.
     pub async fn query_newest_term(&self) -> Option<Option<StoreVersion>> {
         let (tx, rx) = oneshot::channel();
-        let exchange = self.register(Waiter::NewestTerm(tx));
+        let exchange = self.register(ReplySender::NewestTerm(tx));
         match self.send(&ToHome::AskNewestTerm { exchange }) {
             true => rx.await.ok(),
             false => None,
@@ -337,31 +343,33 @@
     pub fn deprioritize(&self) {
         let mut state = self.lock();
         let now = Instant::now();
-        if state.distrusted_until.is_some_and(|until| now < until) {
+        if state.deprioritized_until.is_some_and(|until| now < until) {
             // Questions that were asked side by side count once.
             return;
         }
-        let doublings = state.disappointments.min(DISTRUST_DOUBLINGS);
-        state.distrusted_until = Some(now + DISTRUST * 2_u32.pow(doublings));
-        state.disappointments += 1;
+        let doublings = state
+            .consecutive_stale_answers
+            .min(MAX_DEPRIORITIZATION_DOUBLINGS);
+        state.deprioritized_until = Some(now + DEPRIORITIZED_FOR * 2_u32.pow(doublings));
+        state.consecutive_stale_answers += 1;
     }
 
     /// Notes that what is told here is good enough.
     pub fn reset_deprioritization(&self) {
-        self.lock().disappointments = 0;
+        self.lock().consecutive_stale_answers = 0;
     }
 
-    fn register(&self, waiter: Waiter) -> ExchangeId {
+    fn register(&self, sender: ReplySender) -> ExchangeId {
         let mut state = self.lock();
         let now = Instant::now();
-        if !state.owes() {
+        if !state.awaits_reply() {
             // Silence counts from the first question.
-            state.heard = now;
-            self.asked.notify_one();
+            state.last_activity = now;
+            self.request_registered.notify_one();
         }
-        state.used = now;
-        let exchange = state.next_number();
-        state.waiters.insert(exchange, waiter);
+        state.last_used = now;
+        let exchange = state.allocate_id();
+        state.reply_senders.insert(exchange, sender);
         exchange
     }
 
@@ -376,43 +384,46 @@
                 log::warn!("a home said what makes no sense; the link is closed");
                 return;
             };
-            self.take(frame);
+            self.handle_frame(frame);
         }
     }
 
     /// Takes one part of an answer, and the answer once all parts have come.
-    fn take_part(&self, exchange: ExchangeId, bytes: &Bytes, is_last: bool) {
+    fn handle_part(&self, exchange: ExchangeId, bytes: &Bytes, is_last: bool) {
         let whole = {
             let mut state = self.lock();
-            if !state.waiters.contains_key(&exchange) {
-                state.partial.remove(&exchange);
+            if !state.reply_senders.contains_key(&exchange) {
+                state.partial_answers.remove(&exchange);
                 return;
             }
             let now = Instant::now();
-            let (known, at) = state.partial.entry(exchange).or_insert((Vec::new(), now));
+            let (known, at) = state
+                .partial_answers
+                .entry(exchange)
+                .or_insert((Vec::new(), now));
             known.extend_from_slice(bytes);
             *at = now;
             if !is_last {
                 return;
             }
-            state.partial.remove(&exchange)
+            state.partial_answers.remove(&exchange)
         };
         let Some((bytes, _)) = whole else { return };
         match decode::<FromHome>(&bytes.into()) {
             Some(FromHome::Part { .. }) | None => {
                 log::warn!("the parts of an answer make no sense together; they are dropped");
             }
-            Some(answer) => self.take(answer),
+            Some(answer) => self.handle_frame(answer),
         }
     }
 
-    fn take(&self, frame: FromHome) {
+    fn handle_frame(&self, frame: FromHome) {
         let mut state = self.lock();
-        state.heard = Instant::now();
-        state.last_word = state.heard;
-        self.spoke.notify_waiters();
-        state.pinged = None;
-        state.told = false;
+        state.last_activity = Instant::now();
+        state.last_received = state.last_activity;
+        self.frame_received.notify_waiters();
+        state.pinged_at = None;
+        state.suspicion_reported = false;
         match frame {
             FromHome::Pong => {}
             FromHome::Part {
@@ -421,63 +432,65 @@
                 is_last,
             } => {
                 drop(state);
-                self.take_part(exchange, &bytes, is_last);
+                self.handle_part(exchange, &bytes, is_last);
             }
             FromHome::Leaving => state.leaving = true,
             FromHome::Ran { exchange, outcome } => {
-                if let Some(Waiter::Run(waiter)) = state.waiters.remove(&exchange) {
+                if let Some(ReplySender::Run(sender)) = state.reply_senders.remove(&exchange) {
                     // Nobody may be waiting any more.
-                    let _ = waiter.send(outcome);
+                    let _ = sender.send(outcome);
                 }
             }
             FromHome::Beliefs { exchange, beliefs } => {
-                if let Some(Waiter::Ask(waiter)) = state.waiters.remove(&exchange) {
-                    let _ = waiter.send(beliefs);
+                if let Some(ReplySender::Ask(sender)) = state.reply_senders.remove(&exchange) {
+                    let _ = sender.send(beliefs);
                 }
             }
             FromHome::Drawn { exchange, drawn } => {
-                if let Some(Waiter::Draw(waiter)) = state.waiters.remove(&exchange) {
-                    let _ = waiter.send(drawn);
+                if let Some(ReplySender::Draw(sender)) = state.reply_senders.remove(&exchange) {
+                    let _ = sender.send(drawn);
                 }
             }
             FromHome::NewestTerm { exchange, version } => {
-                if let Some(Waiter::NewestTerm(waiter)) = state.waiters.remove(&exchange) {
-                    let _ = waiter.send(version);
+                if let Some(ReplySender::NewestTerm(sender)) = state.reply_senders.remove(&exchange)
+                {
+                    let _ = sender.send(version);
                 }
             }
             FromHome::News { exchange, news } => {
-                if let Some(Waiter::Follow(waiter)) = state.waiters.remove(&exchange) {
-                    let _ = waiter.send(*news);
+                if let Some(ReplySender::Follow(sender)) = state.reply_senders.remove(&exchange) {
+                    let _ = sender.send(*news);
                 }
             }
         }
     }
 
     /// Pings a home that owes an answer and is silent; returns where the link is to end.
-    async fn look_after(&self) {
+    async fn monitor(&self) {
         loop {
-            if self.lock().owes() {
-                sleep(LOOK_INTERVAL).await;
+            if self.lock().awaits_reply() {
+                sleep(CHECK_INTERVAL).await;
             } else {
                 // Whichever comes first: a question, or the time to see whether it is used.
-                let _ = timeout(IDLE_LIMIT / 2, self.asked.notified()).await;
+                let _ = timeout(IDLE_TIMEOUT / 2, self.request_registered.notified()).await;
             }
             let now = Instant::now();
             let mut state = self.lock();
             state.drop_abandoned();
-            let owes = state.owes();
-            if state.waiters.is_empty() && now.duration_since(state.used) > IDLE_LIMIT {
+            let awaits_reply = state.awaits_reply();
+            if state.reply_senders.is_empty() && now.duration_since(state.last_used) > IDLE_TIMEOUT
+            {
                 return;
             }
-            if state.pinged.is_some_and(|at| now >= at + LOST_AFTER) {
+            if state.pinged_at.is_some_and(|at| now >= at + PING_TIMEOUT) {
                 return;
             }
-            let is_due = owes && now >= state.heard + PING_AFTER;
+            let is_due = awaits_reply && now >= state.last_activity + PING_AFTER;
             drop(state);
             if is_due {
                 self.ping();
             }
-            self.tell_silence();
+            self.report_suspicion();
         }
     }
 
@@ -487,32 +500,32 @@
 }
 
 impl LinkState {
-    fn next_number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn allocate_id(&mut self) -> u64 {
+        self.next_id += 1;
+        self.next_id
     }
 
     /// Whether an answer is due that does not wait for anything to happen.
-    fn owes(&self) -> bool {
-        let mut waiters = self.waiters.values();
-        waiters.any(|waiter| !matches!(waiter, Waiter::Follow(_)))
+    fn awaits_reply(&self) -> bool {
+        let mut reply_senders = self.reply_senders.values();
+        reply_senders.any(|sender| !matches!(sender, ReplySender::Follow(_)))
     }
 
     fn is_alive(&self, now: Instant) -> bool {
-        let suspect = self.pinged.is_some_and(|at| now >= at + SUSPECT_AFTER);
+        let suspect = self.pinged_at.is_some_and(|at| now >= at + SUSPECT_AFTER);
         !self.closed && !suspect
     }
 
     fn drop_abandoned(&mut self) {
-        let waiters = &self.waiters;
-        self.partial
-            .retain(|exchange, _| waiters.contains_key(exchange));
-        self.waiters.retain(|_, waiter| match waiter {
-            Waiter::Run(waiter) => !waiter.is_closed(),
-            Waiter::Ask(waiter) => !waiter.is_closed(),
-            Waiter::Follow(waiter) => !waiter.is_closed(),
-            Waiter::Draw(waiter) => !waiter.is_closed(),
-            Waiter::NewestTerm(waiter) => !waiter.is_closed(),
+        let reply_senders = &self.reply_senders;
+        self.partial_answers
+            .retain(|exchange, _| reply_senders.contains_key(exchange));
+        self.reply_senders.retain(|_, sender| match sender {
+            ReplySender::Run(sender) => !sender.is_closed(),
+            ReplySender::Ask(sender) => !sender.is_closed(),
+            ReplySender::Follow(sender) => !sender.is_closed(),
+            ReplySender::Draw(sender) => !sender.is_closed(),
+            ReplySender::NewestTerm(sender) => !sender.is_closed(),
         });
     }
 }
--- a/crates/engine/src/link/links.rs
+++ b/crates/engine/src/link/links.rs
@@ -1,6 +1,6 @@
 //! All links of this process: one to each other process that it asks, opened when needed.
 
-use super::client::{Link, OnSilence};
+use super::client::{Link, OnSuspect};
 use super::frame::{FromHome, ToHome, decode, encode};
 use crate::ports::{PeerLink, PeerNetwork};
 use futures::future::join_all;
@@ -14,7 +14,7 @@
 /// Longest time in which a link opens.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(350);
 /// How long a request waits for a link that is being opened, before it goes elsewhere.
-const OPEN_PATIENCE: Duration = Duration::from_millis(60);
+const OPEN_WAIT: Duration = Duration::from_millis(60);
 /// First pause before a link that could not be opened is tried again, and the longest.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 const RETRY_PAUSE_MAX: Duration = Duration::from_millis(1_600);
@@ -23,18 +23,18 @@
 
 /// How far a link to one process has come.
 #[derive(Debug, Clone)]
-enum Place {
+enum LinkSlot {
     Opening,
     Open(Arc<Link>),
     Failed { until: Instant, pause: Duration },
 }
 
 /// Links by where the other side listens.
-type Places = HashMap<SocketAddr, Place>;
+type LinkSlots = HashMap<SocketAddr, LinkSlot>;
 
 /// Whether the other side of a new link answers: a process that stands still accepts
 /// connections too.
-async fn answers(link: &mut PeerLink) -> bool {
+async fn responds_to_ping(link: &mut PeerLink) -> bool {
     let sent = link.tx.send(encode(&ToHome::Ping)).await;
     let answer = match sent {
         Ok(()) => link.rx.recv().await,
@@ -46,15 +46,15 @@
 
 /// Has all links pinged: they may have gone silent together, and each would cost a request its
 /// time to find out.
-fn ping_all(places: &Arc<Mutex<Places>>) -> OnSilence {
-    let places = Arc::downgrade(places);
-    OnSilence(Box::new(move || {
-        let Some(places) = places.upgrade() else {
+fn ping_all(slots: &Arc<Mutex<LinkSlots>>) -> OnSuspect {
+    let slots = Arc::downgrade(slots);
+    OnSuspect(Box::new(move || {
+        let Some(slots) = slots.upgrade() else {
             return;
         };
-        let known: Vec<Place> = lock(&places).values().cloned().collect();
-        for place in known {
-            if let Place::Open(link) = place {
+        let known: Vec<LinkSlot> = lock(&slots).values().cloned().collect();
+        for slot in known {
+            if let LinkSlot::Open(link) = slot {
                 link.ping();
             }
         }
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub struct Links {
     network: Arc<dyn PeerNetwork>,
-    places: Arc<Mutex<Places>>,
+    slots: Arc<Mutex<LinkSlots>>,
     changes: watch::Sender<u64>,
 }
 
@@ -74,7 +74,7 @@
     pub fn new(network: Arc<dyn PeerNetwork>) -> Self {
         Self {
             network,
-            places: Arc::default(),
+            slots: Arc::default(),
             changes: watch::Sender::new(0),
         }
     }
@@ -85,26 +85,26 @@
         self.first_usable_where(addresses, |_| true).await
     }
 
-    /// Gives `tell` a usable link to each of `addresses` that has one, all side by side.
-    pub async fn for_each_usable(&self, addresses: Vec<SocketAddr>, tell: impl Fn(&Link)) {
-        let told = addresses.into_iter().map(|address| {
-            let tell = &tell;
+    /// Gives `action` a usable link to each of `addresses` that has one, all side by side.
+    pub async fn for_each_usable(&self, addresses: Vec<SocketAddr>, action: impl Fn(&Link)) {
+        let calls = addresses.into_iter().map(|address| {
+            let action = &action;
             async move {
                 if let Some(link) = self.first_usable(&[address]).await {
-                    tell(&link);
+                    action(&link);
                 }
             }
         });
-        join_all(told).await;
+        join_all(calls).await;
     }
 
-    /// As [`Links::first_usable`], for a link other than `taken`.
+    /// As [`Links::first_usable`], for a link other than `excluded`.
     pub async fn first_usable_except(
         &self,
         addresses: &[SocketAddr],
-        taken: &Arc<Link>,
+        excluded: &Arc<Link>,
     ) -> Option<Arc<Link>> {
-        let is_other = |link: &Arc<Link>| !Arc::ptr_eq(link, taken);
+        let is_other = |link: &Arc<Link>| !Arc::ptr_eq(link, excluded);
         self.first_usable_where(addresses, is_other).await
     }
 
@@ -114,19 +114,19 @@
         is_wanted: impl Fn(&Arc<Link>) -> bool,
     ) -> Option<Arc<Link>> {
         let mut changes = self.changes.subscribe();
-        let until = Instant::now() + OPEN_PATIENCE;
+        let until = Instant::now() + OPEN_WAIT;
         loop {
             changes.mark_unchanged();
             let mut opening = false;
             for address in addresses {
-                match self.look_at(*address) {
-                    Place::Open(link) if link.is_usable() && is_wanted(&link) => {
-                        if link.is_confirmed(until).await {
+                match self.get_or_open(*address) {
+                    LinkSlot::Open(link) if link.is_usable() && is_wanted(&link) => {
+                        if link.is_responsive(until).await {
                             return Some(link);
                         }
                     }
-                    Place::Opening => opening = true,
-                    Place::Open(_) | Place::Failed { .. } => {}
+                    LinkSlot::Opening => opening = true,
+                    LinkSlot::Open(_) | LinkSlot::Failed { .. } => {}
                 }
             }
             if !opening || timeout_at(until, changes.changed()).await.is_err() {
@@ -136,54 +136,54 @@
     }
 
     /// The place of `address`; a link is opened where there is none and it is time.
-    fn look_at(&self, address: SocketAddr) -> Place {
+    fn get_or_open(&self, address: SocketAddr) -> LinkSlot {
         let now = Instant::now();
-        let mut places = lock(&self.places);
-        let known = places.get(&address).cloned();
+        let mut slots = lock(&self.slots);
+        let known = slots.get(&address).cloned();
         let pause = match known {
             None => RETRY_PAUSE,
-            Some(Place::Open(link)) if !link.is_open() => RETRY_PAUSE,
+            Some(LinkSlot::Open(link)) if !link.is_open() => RETRY_PAUSE,
             // Connections may go silent for good while new ones work. What was begun on the
             // silent one waits for its answer there.
-            Some(Place::Open(link)) if link.is_silent() => {
-                places.insert(address, Place::Opening);
-                drop(places);
+            Some(LinkSlot::Open(link)) if link.is_suspect() => {
+                slots.insert(address, LinkSlot::Opening);
+                drop(slots);
                 self.spawn_open(address, RETRY_PAUSE);
-                return Place::Opening;
+                return LinkSlot::Opening;
             }
-            Some(Place::Failed { until, pause }) if now >= until => pause,
-            Some(Place::Open(link)) if link.is_leaving() => {
+            Some(LinkSlot::Failed { until, pause }) if now >= until => pause,
+            Some(LinkSlot::Open(link)) if link.is_leaving() => {
                 // What was begun there goes on there.
                 let until = now + LEAVING_PAUSE;
                 let pause = RETRY_PAUSE;
-                places.insert(address, Place::Failed { until, pause });
-                return Place::Failed { until, pause };
+                slots.insert(address, LinkSlot::Failed { until, pause });
+                return LinkSlot::Failed { until, pause };
             }
-            Some(place) => return place,
+            Some(slot) => return slot,
         };
-        places.insert(address, Place::Opening);
-        drop(places);
+        slots.insert(address, LinkSlot::Opening);
+        drop(slots);
         self.spawn_open(address, pause);
-        Place::Opening
+        LinkSlot::Opening
     }
 
     fn spawn_open(&self, address: SocketAddr, pause: Duration) {
         let network = Arc::clone(&self.network);
-        let places = Arc::clone(&self.places);
+        let slots = Arc::clone(&self.slots);
         let changes = self.changes.clone();
         tokio::spawn(async move {
             let opening = async {
                 let mut link = network.open_link(address).await.ok()?;
-                answers(&mut link).await.then_some(link)
+                responds_to_ping(&mut link).await.then_some(link)
             };
-            let place = match timeout(OPEN_TIMEOUT, opening).await {
-                Ok(Some(link)) => Place::Open(Link::spawn(link, ping_all(&places))),
-                _ => Place::Failed {
+            let slot = match timeout(OPEN_TIMEOUT, opening).await {
+                Ok(Some(link)) => LinkSlot::Open(Link::spawn(link, ping_all(&slots))),
+                _ => LinkSlot::Failed {
                     until: Instant::now() + pause,
                     pause: (pause * 2).min(RETRY_PAUSE_MAX),
                 },
             };
-            lock(&places).insert(address, place);
+            lock(&slots).insert(address, slot);
             changes.send_modify(|count| *count += 1);
         });
     }
