--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -39,14 +39,14 @@
 use tokio::time::{Instant, sleep};
 
 /// Processes that may follow the store themselves, each.
-const DIRECT_FLEET: usize = 16;
+const MAX_DIRECT_FLEET: usize = 16;
 /// How long one question waits for news.
 const UPDATE_WAIT: Duration = Duration::from_millis(900);
 /// The same as a share of the time within which a removed credential, or an evacuation, must
 /// be known everywhere.
 /// A process proves its configuration by way of two others: this share for each of these, and
 /// two waits at the store, leave three fifths of that time for a source that is lost.
-const REVOCATION_SHARE: f64 = 0.1;
+const PROOF_WAIT_SHARE: f64 = 0.1;
 /// Age of a proof of the configuration, as a share of the time within which a removed
 /// credential must be known, from which on a process looks for a better one. A proof that was
 /// just told is three waits old at most where nothing is amiss, three tenths of that time; what
@@ -57,30 +57,30 @@
 const AGE_MARGIN: Duration = Duration::from_millis(600);
 /// Longest time after the start in which a fleet that starts for the first time comes to know
 /// itself: each process writes a record, and the store takes some hundred a second.
-const SETTLING: Duration = Duration::from_secs(3);
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time without another process after which such a fleet counts as known.
-const SETTLED_AFTER: Duration = Duration::from_millis(400);
+const DISCOVERY_QUIET_PERIOD: Duration = Duration::from_millis(400);
 /// Pause between two readings of its processes; a random part of as much is added.
-const SETTLING_PAUSE: Duration = Duration::from_millis(150);
+const DISCOVERY_PAUSE: Duration = Duration::from_millis(150);
 /// Interval in which a process that starts looks whether it has taken the fleet in.
-const TAKING_LOOK: Duration = Duration::from_millis(1);
+const FLEET_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 /// How long after its start a process may wait for others that are starting too, as a share of the
 /// time within which a change must be known; then it turns to the store itself.
 const STARTING_PROPAGATION_SHARE: f64 = 0.6;
 /// Pause before one that is starting is asked again: its answer was held for a wait before.
 const STARTING_PAUSE: Duration = Duration::from_millis(20);
 /// Pause after nobody told anything, and of a process that follows by itself.
-const PAUSE: Duration = Duration::from_millis(250);
+const ROUND_PAUSE: Duration = Duration::from_millis(250);
 /// Pause after an answer with changes, in a large fleet, before more is asked for: changes that
 /// come close together are told at once.
-const FEED_PAUSE: Duration = Duration::from_millis(25);
+const MIN_FEED_PAUSE: Duration = Duration::from_millis(25);
 /// The same while changes go on and on, as thousands of entries do that are written at a start:
 /// each answer wakes whoever asks here. Well below the time in which a change must be known.
-const LONGEST_FEED_PAUSE: Duration = Duration::from_millis(250);
+const MAX_FEED_PAUSE: Duration = Duration::from_millis(250);
 
 /// Time over which processes turn to the store that others don't ask, when nobody tells them
 /// anything recent: hundreds would begin in one moment, and most find one that was quicker.
-const STORE_SPREAD: Duration = Duration::from_millis(400);
+const STORE_FALLBACK_SPREAD: Duration = Duration::from_millis(400);
 
 /// Pause before the store is asked again after a failure; a random part of as much is added.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
@@ -114,7 +114,7 @@
     /// Whether the store has failed to answer lately.
     failing: bool,
     /// When the answer before came that brought changes, and the pause after it.
-    changed: Option<(Instant, Duration)>,
+    last_change: Option<(Instant, Duration)>,
 }
 
 impl FeedState {
@@ -128,18 +128,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mode {
     /// Not known yet: the process has just started.
-    Settling,
+    Discovering,
     /// From the store itself.
     Direct,
     /// From other processes.
-    Indirect,
+    Relayed,
 }
 
 /// Whether this process follows the store itself, and how recent what it knows is.
 #[derive(Debug)]
 pub struct Following {
     mode: watch::Sender<Mode>,
-    began: Instant,
+    started: Instant,
     feeds: Mutex<[FeedState; FEEDS]>,
     /// As of when the configuration in use was the newest.
     proof: watch::Sender<Option<Instant>>,
@@ -150,8 +150,8 @@
 impl Default for Following {
     fn default() -> Self {
         Self {
-            mode: watch::Sender::new(Mode::Settling),
-            began: Instant::now(),
+            mode: watch::Sender::new(Mode::Discovering),
+            started: Instant::now(),
             feeds: Mutex::default(),
             proof: watch::Sender::new(None),
             is_complete: watch::Sender::new(false),
@@ -173,8 +173,8 @@
         loop {
             match *mode.borrow_and_update() {
                 Mode::Direct => return has_learned,
-                Mode::Indirect => has_learned = true,
-                Mode::Settling => {}
+                Mode::Relayed => has_learned = true,
+                Mode::Discovering => {}
             }
             // The sender lives as long as this does.
             let _ = mode.changed().await;
@@ -267,17 +267,19 @@
 
     /// How long to wait after an answer with changes of `feed`, which was taken `now`: longer while
     /// one comes right after the other.
-    fn lengthen_pause(&self, feed: Feed, now: Instant) -> Duration {
+    fn next_feed_pause(&self, feed: Feed, now: Instant) -> Duration {
         let state = &mut self.lock()[feed as usize];
-        let before = state.changed.filter(|(at, pause)| now < *at + *pause * 2);
-        let pause = before.map_or(FEED_PAUSE, |(_, pause)| pause * 2);
-        let pause = pause.min(LONGEST_FEED_PAUSE);
-        state.changed = Some((now, pause));
+        let before = state
+            .last_change
+            .filter(|(at, pause)| now < *at + *pause * 2);
+        let pause = before.map_or(MIN_FEED_PAUSE, |(_, pause)| pause * 2);
+        let pause = pause.min(MAX_FEED_PAUSE);
+        state.last_change = Some((now, pause));
         pause
     }
 
     fn set_mode(&self, mode: Mode) {
-        if mode == Mode::Indirect {
+        if mode == Mode::Relayed {
             // It does not ask the store any more.
             self.lock().iter_mut().for_each(|feed| feed.failing = false);
         }
@@ -295,7 +297,7 @@
 
 /// Whether the fleet is so large that most of it follows the store through a few.
 pub fn uses_relays(engine: &Engine) -> bool {
-    engine.homes().fleet_len() > DIRECT_FLEET
+    engine.homes().fleet_len() > MAX_DIRECT_FLEET
 }
 
 /// Learns from other processes, where there are some to learn from, until the process ends.
@@ -304,11 +306,11 @@
 pub async fn follow(engine: &Engine, duty: &Duty) {
     let mut dependency = DependencyMonitor::new("followers");
     let mut search = Search::default();
-    settle(engine).await;
+    discover_fleet(engine).await;
     loop {
         if !uses_relays(engine) {
             engine.following().set_mode(Mode::Direct);
-            sleep(PAUSE).await;
+            sleep(ROUND_PAUSE).await;
             continue;
         }
         let source = match duty.check() {
@@ -328,8 +330,8 @@
 /// Returns once the fleet is known, or so much of it that others are asked. Until then only its
 /// index is read, or where there is none the records of its processes: whole tables, read by
 /// hundreds that start in one moment, are more than the store can send.
-async fn settle(engine: &Engine) {
-    let until = engine.following().began + SETTLING;
+async fn discover_fleet(engine: &Engine) {
+    let until = engine.following().started + DISCOVERY_TIMEOUT;
     let (mut known, mut since) = (0, Instant::now());
     let mut is_restart = None;
     let mut has_index = None;
@@ -339,12 +341,12 @@
             has_index = engine.terms().read_index().await.ok();
         }
         if has_index == Some(true) {
-            until_taken(engine).await;
+            wait_until_fleet_applied(engine).await;
             return;
         }
         if has_index.is_some() && engine.terms().read_processes().await.is_ok() {
             is_restart.get_or_insert_with(|| fleet::is_registered(engine));
-            until_taken(engine).await;
+            wait_until_fleet_applied(engine).await;
         }
         if uses_relays(engine) || is_restart == Some(true) {
             return;
@@ -353,18 +355,18 @@
         if processes != known {
             (known, since) = (processes, Instant::now());
         }
-        if since.elapsed() >= SETTLED_AFTER || Instant::now() >= until {
+        if since.elapsed() >= DISCOVERY_QUIET_PERIOD || Instant::now() >= until {
             return;
         }
-        sleep(SETTLING_PAUSE.mul_f64(1.0 + rand::random::<f64>())).await;
+        sleep(DISCOVERY_PAUSE.mul_f64(1.0 + rand::random::<f64>())).await;
     }
 }
 
 /// Returns once the processes that were read count as the fleet.
-async fn until_taken(engine: &Engine) {
+async fn wait_until_fleet_applied(engine: &Engine) {
     let read = fleet::count(engine);
     while engine.processes() < read {
-        sleep(TAKING_LOOK).await;
+        sleep(FLEET_CHECK_INTERVAL).await;
     }
 }
 
@@ -372,11 +374,11 @@
 /// others may know more.
 async fn follow_store(engine: &Engine, search: &mut Search) {
     engine.following().set_mode(Mode::Direct);
-    if needs_more(engine) {
+    if needs_peer_updates(engine) {
         // That the store does not answer is told by the tasks that ask it.
-        let _ = search.look_further(engine, true).await;
+        let _ = search.widen_search(engine, true).await;
     }
-    sleep(PAUSE).await;
+    sleep(ROUND_PAUSE).await;
 }
 
 /// One round of any other process: it asks `peers`, looks further where they tell nothing
@@ -396,7 +398,7 @@
     let learned = search.ask_sources(engine, peers).await;
     let learned = match learned {
         Ok(()) => {
-            following.set_mode(Mode::Indirect);
+            following.set_mode(Mode::Relayed);
             if known != known_versions(engine) {
                 pause_after_changes(engine, Feed::Directory).await;
             }
@@ -413,38 +415,38 @@
         follow_store(engine, search).await;
         return learned;
     }
-    let with_scouts = !following.is_direct() || needs_more(engine);
-    let learned = search.look_further(engine, with_scouts).await;
+    let with_scouts = !following.is_direct() || needs_peer_updates(engine);
+    let learned = search.widen_search(engine, with_scouts).await;
     match learned {
         Ok(Step::Elsewhere) => {
-            following.set_mode(Mode::Indirect);
+            following.set_mode(Mode::Relayed);
             return Ok(());
         }
         // What happens to know something recent now need not know it for long.
         _ if search.is_store_due() => following.set_mode(Mode::Direct),
         _ => {}
     }
-    let pause = PAUSE.mul_f64(0.5 + rand::random::<f64>());
+    let pause = ROUND_PAUSE.mul_f64(0.5 + rand::random::<f64>());
     sleep(search.pause(pause)).await;
     learned.map(|_| ())
 }
 
 /// Whether a process that follows the store should ask others too.
-fn needs_more(engine: &Engine) -> bool {
+fn needs_peer_updates(engine: &Engine) -> bool {
     engine.following().is_failing() || !is_recent(engine, Instant::now())
 }
 
 /// Waits after an answer with changes of `feed`, in a large fleet, before more is asked for.
 pub async fn pause_after_changes(engine: &Engine, feed: Feed) {
-    if engine.processes() > DIRECT_FLEET {
-        sleep(engine.following().lengthen_pause(feed, Instant::now())).await;
+    if engine.processes() > MAX_DIRECT_FLEET {
+        sleep(engine.following().next_feed_pause(feed, Instant::now())).await;
     }
 }
 
 /// How long to wait before the store is asked again after it has failed `failures` times in
 /// a row. In a large fleet the wait grows: what is refused costs the store too.
 pub fn retry_backoff(engine: &Engine, failures: u32) -> Duration {
-    let doublings = match engine.processes() > DIRECT_FLEET {
+    let doublings = match engine.processes() > MAX_DIRECT_FLEET {
         true => failures.saturating_sub(1).min(MAX_DOUBLINGS),
         false => 0,
     };
@@ -503,7 +505,7 @@
 
 /// Longest wait for news where what is in use must be proven.
 fn proof_wait(engine: &Engine) -> Option<Duration> {
-    proof_bound(engine).map(|bound| bound.mul_f64(REVOCATION_SHARE))
+    proof_bound(engine).map(|bound| bound.mul_f64(PROOF_WAIT_SHARE))
 }
 
 /// How long one call waits for changes of the configuration at the store.
@@ -529,7 +531,7 @@
     }
 }
 
-fn take(engine: &Engine, updates: StoreUpdates, asked: Instant) {
+fn apply_updates(engine: &Engine, updates: StoreUpdates, asked: Instant) {
     declared::apply(engine, updates.declared, asked);
     if updates.records_version > engine.terms().version() {
         let changes = RecordChanges {
@@ -549,7 +551,7 @@
         .settings()
         .propagation_bound
         .mul_f64(STARTING_PROPAGATION_SHARE);
-    let is_young = following.began.elapsed() < longest;
+    let is_young = following.started.elapsed() < longest;
     is_young && following.current_as_of().is_none() && !following.is_failing()
 }
 
--- a/crates/engine/src/following/search.rs
+++ b/crates/engine/src/following/search.rs
@@ -4,7 +4,7 @@
 //! that tell other zones and a few drawn from the whole fleet, since a rank does not know who
 //! is cut off. What one of these tells counts like any other answer: with the age that it has.
 
-use super::{STORE_SPREAD, is_recent, known_versions, take, update_wait};
+use super::{STORE_FALLBACK_SPREAD, apply_updates, is_recent, known_versions, update_wait};
 use crate::engine::Engine;
 use crate::link::Link;
 use crate::peers::declared;
@@ -32,7 +32,7 @@
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum NoUpdates {
         /// None of those that are to tell it is reached.
-        Unreached {
+        Unreachable {
             display("no process that follows the store is reached")
         }
         /// It did not answer.
@@ -44,7 +44,7 @@
             display("who was asked is starting")
         }
         /// It knows of no recent answer of the store.
-        TurnedAway {
+        StoreFailing {
             display("who was asked is turned away by the store")
         }
         /// What it knows was so old when it was asked.
@@ -79,7 +79,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Search {
     /// The process outside its sources that last told something recent.
-    informed: Option<(Arc<Link>, Step)>,
+    fresh_peer: Option<(Arc<Link>, Step)>,
     /// From when on the store is to be asked, while nobody that is to tells anything recent.
     store_due: Option<Instant>,
 }
@@ -107,29 +107,29 @@
     /// # Errors
     ///
     /// The reason why nothing recent was learned.
-    pub async fn look_further(
+    pub async fn widen_search(
         &mut self,
         engine: &Engine,
         with_scouts: bool,
     ) -> Result<Step, String> {
         if self.store_due.is_none() {
-            let spread = STORE_SPREAD.mul_f64(rand::random());
+            let spread = STORE_FALLBACK_SPREAD.mul_f64(rand::random());
             self.store_due = Some(Instant::now() + spread);
         }
-        let informed = self.informed.take().filter(|(link, _)| link.is_usable());
-        let informed = match informed {
+        let fresh_peer = self.fresh_peer.take().filter(|(link, _)| link.is_usable());
+        let fresh_peer = match fresh_peer {
             Some((link, step)) if with_scouts || step == Step::Elsewhere => {
                 let learned = ask(engine, &link, update_wait(engine), step).await;
                 learned.is_ok().then_some((link, step))
             }
             _ => None,
         };
-        self.informed = match informed {
-            Some(informed) => Some(informed),
+        self.fresh_peer = match fresh_peer {
+            Some(fresh_peer) => Some(fresh_peer),
             None => ask_many(engine, with_scouts).await,
         };
-        let informed = self.informed.as_ref().map(|(_, step)| *step);
-        let step = informed.ok_or("no process was found that knows something recent")?;
+        let fresh_peer = self.fresh_peer.as_ref().map(|(_, step)| *step);
+        let step = fresh_peer.ok_or("no process was found that knows something recent")?;
         if step == Step::Elsewhere {
             self.store_due = None;
         }
@@ -179,7 +179,7 @@
 async fn ask_pair(engine: &Engine, sources: &[SocketAddr], step: Step) -> Result<(), NoUpdates> {
     let links = engine.homes().links();
     let first = links.first_usable(sources).await;
-    let first = first.ok_or(NoUpdates::Unreached)?;
+    let first = first.ok_or(NoUpdates::Unreachable)?;
     let wait = update_wait(engine);
     let mut asked = pin!(ask(engine, &first, wait, step));
     let mut on_time = timeout(wait + HEDGE_MARGIN, &mut asked).await;
@@ -237,7 +237,7 @@
     let (age, versions) = (updates.age, updates.feeds);
     let is_starting = updates.is_starting;
     let records_as_of = updates.records_complete_after_ms;
-    take(engine, updates, asked);
+    apply_updates(engine, updates, asked);
     if let Some(at) = records_as_of.and_then(|ms| declared::moment_after(asked, ms)) {
         engine.slow_starts().prove_records(at);
     }
@@ -248,7 +248,7 @@
             return Err(NoUpdates::Starting);
         }
         count(step, "failing");
-        return Err(NoUpdates::TurnedAway);
+        return Err(NoUpdates::StoreFailing);
     };
     engine.following().mark_current_from_peer(at, versions);
     if !is_recent(engine, Instant::now()) {
