--- a/crates/engine/src/peers/declared.rs
+++ b/crates/engine/src/peers/declared.rs
@@ -38,7 +38,7 @@
     let is_newer = directory.version > known.directory;
     DeclaredState {
         configuration: configuration.map(|newest| declare_configuration(engine, &newest, known)),
-        directory: is_newer.then(|| declare(&directory, known.directory, Instant::now())),
+        directory: is_newer.then(|| declare_directory(&directory, known.directory, Instant::now())),
         evacuations: is_evacuation_newer.then(|| Evacuations::clone(&evacuations)),
         complete_after_ms: complete_as_of.map(|at| signed_millis(asked, at)),
     }
@@ -75,7 +75,7 @@
 
 /// What has changed in `directory` after the version `known`: the whole of it where that can
 /// no longer be told.
-fn declare(directory: &Directory, known: u64, now: Instant) -> DeclaredDirectory {
+fn declare_directory(directory: &Directory, known: u64, now: Instant) -> DeclaredDirectory {
     let (extent, members) = match directory.changed_after(known) {
         Some(changed) => (
             DeclaredExtent::Changes,
--- a/crates/engine/src/peers/mod.rs
+++ b/crates/engine/src/peers/mod.rs
@@ -24,7 +24,7 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Processes asked at a time.
-const ASKED_AT_ONCE: usize = 3;
+const PEERS_PER_QUERY: usize = 3;
 /// Longest wait for their answers.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
 
@@ -83,7 +83,7 @@
 
 fn choose_peers(engine: &Engine) -> Vec<SocketAddr> {
     let peers = fleet::peers(engine);
-    let chosen = peers.sample(&mut rand::rng(), ASKED_AT_ONCE);
+    let chosen = peers.sample(&mut rand::rng(), PEERS_PER_QUERY);
     chosen.copied().collect()
 }
 
--- a/crates/engine/src/peers/tcp.rs
+++ b/crates/engine/src/peers/tcp.rs
@@ -73,7 +73,7 @@
     rmp_serde::from_slice(&frame).map_err(|error| PeerError::Protocol(error.to_string()))
 }
 
-fn another_answer() -> PeerError {
+fn mismatched_answer() -> PeerError {
     PeerError::Protocol("the answer is to another question".to_owned())
 }
 
@@ -86,7 +86,7 @@
     ) -> Result<Vec<GroupSnapshot>, PeerError> {
         match exchange(peer, &Question::Beliefs(groups.to_vec())).await? {
             Answer::Beliefs(group_snapshots) => Ok(group_snapshots),
-            Answer::Declared(_) => Err(another_answer()),
+            Answer::Declared(_) => Err(mismatched_answer()),
         }
     }
 
@@ -97,7 +97,7 @@
     ) -> Result<DeclaredState, PeerError> {
         match exchange(peer, &Question::Declared(known)).await? {
             Answer::Declared(state) => Ok(*state),
-            Answer::Beliefs(_) => Err(another_answer()),
+            Answer::Beliefs(_) => Err(mismatched_answer()),
         }
     }
 
@@ -152,7 +152,7 @@
         let engine = Arc::clone(&engine);
         tokio::spawn(async move {
             // Who breaks off gets no answer.
-            let Ok(Some(Asked::Link(link))) =
+            let Ok(Some(ConnectionUse::Link(link))) =
                 timeout(QUESTION_TIMEOUT, answer(&engine, stream)).await
             else {
                 return;
@@ -163,7 +163,7 @@
 }
 
 /// What came of a connection.
-enum Asked {
+enum ConnectionUse {
     /// Its question was answered.
     Answered,
     /// It is a link from here on.
@@ -171,7 +171,7 @@
 }
 
 /// Answers one question; what makes no sense ends the connection.
-async fn answer(engine: &Engine, stream: TcpStream) -> Option<Asked> {
+async fn answer(engine: &Engine, stream: TcpStream) -> Option<ConnectionUse> {
     stream.set_nodelay(true).ok()?;
     let mut frames = framed(stream);
     let frame = frames.next().await?.ok()?;
@@ -181,11 +181,11 @@
             let newer = declared::newer(engine, versions, Instant::now());
             Answer::Declared(Box::new(newer))
         }
-        Question::Link => return Some(Asked::Link(spawn_link(frames))),
+        Question::Link => return Some(ConnectionUse::Link(spawn_link(frames))),
     };
     let encoded = encoding::without_names(&answer);
     frames.send(encoded).await.ok()?;
-    Some(Asked::Answered)
+    Some(ConnectionUse::Answered)
 }
 
 /// Beliefs about those of `groups` that the directory names: none is made for a question's
