--- a/crates/engine/src/home/mod.rs
+++ b/crates/engine/src/home/mod.rs
@@ -30,10 +30,10 @@
 
 use crate::engine::Engine;
 use crate::group::Group;
-use crate::link::frame::Wanted;
+use crate::link::frame::RequiredFreshness;
 use crate::names::{GroupName, RegionName};
 use crate::peers;
-use crate::ports::GroupBelief;
+use crate::ports::GroupSnapshot;
 use crate::residency::Residency;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -46,12 +46,12 @@
 /// from the commits of the whole fleet. Returns whether a home has replied. Homes themselves, and
 /// processes of a small fleet, send no request.
 pub async fn ask_for_evidence(engine: &Engine, group: &Group) -> bool {
-    ask(engine, group, Wanted::Evidence).await
+    ask(engine, group, RequiredFreshness::Evidence).await
 }
 
 /// Like [`ask_for_evidence`], but requests a replication position as of a recent time.
 pub async fn ask_for_position(engine: &Engine, group: &Group) -> bool {
-    ask(engine, group, Wanted::Position).await
+    ask(engine, group, RequiredFreshness::Position).await
 }
 
 /// Requests the evidence of `group` from its evidence reader, the process that reads it from the
@@ -70,15 +70,15 @@
     let Some(link) = reader.await else {
         return false;
     };
-    let beliefs = link.ask(group.name(), Wanted::StoreEvidence);
+    let beliefs = link.query_group(group.name(), RequiredFreshness::StoreEvidence);
     if let Ok(Some(beliefs)) = timeout(ASK_TIMEOUT, beliefs).await {
         apply_beliefs(engine, beliefs, asked);
     }
     let leader = group.leased_leader(Instant::now(), Duration::ZERO);
     match leader {
-        Some(_) => link.trust(),
+        Some(_) => link.reset_deprioritization(),
         // It can't reach the store, or can't be reached: use the other evidence reader next.
-        None => link.distrust(),
+        None => link.deprioritize(),
     }
     leader.is_some()
 }
@@ -102,11 +102,11 @@
     most.map(|(region, _)| region.clone())
 }
 
-async fn ask(engine: &Engine, group: &Group, wanted: Wanted) -> bool {
+async fn ask(engine: &Engine, group: &Group, wanted: RequiredFreshness) -> bool {
     let leader = group.view().leader;
     let directory = engine.directory();
     let member = leader.and_then(|leader| directory.member(&leader).cloned());
-    let Some(member) = member.filter(|member| !engine.connects_itself(member)) else {
+    let Some(member) = member.filter(|member| !engine.connects_directly(member)) else {
         return false;
     };
     let asked = Instant::now();
@@ -114,7 +114,7 @@
     let anywhere = &Residency::ANYWHERE;
     let answered = timeout(ASK_TIMEOUT, async {
         let link = engine.homes().choose_link(&member, None, anywhere).await?;
-        link.get().ask(group.name(), wanted).await
+        link.get().query_group(group.name(), wanted).await
     });
     let Ok(Some(beliefs)) = answered.await else {
         return false;
@@ -123,9 +123,9 @@
     true
 }
 
-fn apply_beliefs(engine: &Engine, beliefs: Vec<GroupBelief>, asked: Instant) {
+fn apply_beliefs(engine: &Engine, beliefs: Vec<GroupSnapshot>, asked: Instant) {
     metrics::counter!("stilequay_peer_answers_total").increment(1);
     beliefs
         .into_iter()
-        .for_each(|belief| peers::take(engine, belief, asked));
+        .for_each(|belief| peers::apply(engine, belief, asked));
 }
--- a/crates/engine/src/leadership/access.rs
+++ b/crates/engine/src/leadership/access.rs
@@ -80,7 +80,7 @@
 /// Requests evidence from a home of the leader, then from the store, and from other processes if
 /// the store doesn't answer soon. Pauses if none of them had any.
 async fn refresh(engine: &Engine, group: &Group, staleness: Duration) {
-    if following::follows_others(engine) && wait_for_change(group).await {
+    if following::uses_relays(engine) && wait_for_change(group).await {
         return;
     }
     if home::ask_for_evidence(engine, group).await
@@ -119,7 +119,7 @@
     let store = engine.terms().refresh(engine, group, Instant::now());
     let answered = timeout(STORE_WAIT, store).await;
     if !matches!(answered, Ok(Ok(()))) {
-        peers::ask(engine, std::slice::from_ref(group.name())).await;
+        peers::query(engine, std::slice::from_ref(group.name())).await;
     }
 }
 
--- a/crates/engine/src/leadership/freshness.rs
+++ b/crates/engine/src/leadership/freshness.rs
@@ -6,7 +6,7 @@
 use crate::evacuation::Sender;
 use crate::group::Group;
 use crate::home;
-use crate::names::are_lives_of_one;
+use crate::names::are_incarnations_of_same_server;
 use crate::peers;
 use crate::pool::Claim;
 use crate::ports::{Command, Control};
@@ -49,7 +49,7 @@
     }
     let _ = timeout_at(
         until,
-        peers::ask(engine, std::slice::from_ref(group.name())),
+        peers::query(engine, std::slice::from_ref(group.name())),
     )
     .await;
     if let Some(position) = group.covering_position(moment) {
@@ -99,7 +99,7 @@
 fn is_replaced(member: &SurveyedMember, members: &[SurveyedMember]) -> bool {
     let same_address = |other: &SurveyedMember| {
         let is_other = other.member.id != member.member.id
-            && !are_lives_of_one(&other.member.id, &member.member.id);
+            && !are_incarnations_of_same_server(&other.member.id, &member.member.id);
         is_other && other.member.address == member.member.address
     };
     member.member.is_gone() && members.iter().any(same_address)
--- a/crates/engine/src/leadership/promotion_lease.rs
+++ b/crates/engine/src/leadership/promotion_lease.rs
@@ -223,8 +223,12 @@
 /// acquires the lease within 1.5 s after its holder is killed, instead of 1.6 to 1.9 s.
 async fn notify_candidates(engine: &Engine, record: &LeaseRecord) {
     let addresses = engine.homes().lease_candidate_addresses(CANDIDATES);
-    let tell = |link: &Link| link.tell_promotion_lease(record);
-    engine.homes().links().tell_each(addresses, tell).await;
+    let tell = |link: &Link| link.send_promotion_lease(record);
+    engine
+        .homes()
+        .links()
+        .for_each_usable(addresses, tell)
+        .await;
 }
 
 /// How long the candidate of `rank` waits for those ranked before it. The first one is usually
--- a/crates/engine/src/leadership/roster.rs
+++ b/crates/engine/src/leadership/roster.rs
@@ -12,7 +12,7 @@
 use crate::encoding;
 use crate::engine::Engine;
 use crate::names::{GroupName, MemberId, ZoneName};
-use crate::ports::{PUTS_AT_ONCE, PutOutcome, Record, RecordPut, RecordStoreError};
+use crate::ports::{MAX_PUTS_PER_CALL, PutOutcome, Record, RecordPut, RecordStoreError};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -100,7 +100,7 @@
                 Comparison::Due(put) => puts_due.push(put),
             }
         }
-        for puts in puts_due.chunks(PUTS_AT_ONCE) {
+        for puts in puts_due.chunks(MAX_PUTS_PER_CALL) {
             if let Err(error) = write_records(engine, puts).await {
                 is_complete = false;
                 log::warn!(
@@ -211,5 +211,5 @@
         state: MemberState::Gone(departure),
         changed: 0,
     });
-    engine.remember_members(members.collect());
+    engine.add_missing_members(members.collect());
 }
--- a/crates/engine/src/leadership/suspicion.rs
+++ b/crates/engine/src/leadership/suspicion.rs
@@ -81,7 +81,7 @@
         _ => {}
     }
     let has_lasted = |since: Option<Instant>, limit| since.is_some_and(|at| now >= at + limit);
-    let health = engine.used_pool(&leader.id).map(|pool| pool.health());
+    let health = engine.existing_pool(&leader.id).map(|pool| pool.health());
     if let Some(health) = health
         && (has_lasted(health.unreachable_since(), UNREACHABLE_TIMEOUT)
             || has_lasted(health.silent_since(), SILENCE_TIMEOUT))
@@ -123,7 +123,7 @@
     let MemberState::Gone(gone) = leader.state else {
         return Some(Suspicion::EntryGone);
     };
-    let answering_grace = engine.settings().leaving_use.mul_f64(ANSWERING_GRACE_SHARE);
+    let answering_grace = engine.settings().departure_grace.mul_f64(ANSWERING_GRACE_SHARE);
     if gone.may_be_older_than(answering_grace, Instant::now()) {
         return Some(Suspicion::EntryGone);
     }
--- a/crates/engine/src/leadership/watcher.rs
+++ b/crates/engine/src/leadership/watcher.rs
@@ -157,7 +157,7 @@
         let reporters = self.reporters(group.name(), view.epoch);
         let is_reported = holds_lease && reporters > 0;
         let verified = suspicion::verify(&self.engine, group, &view, is_reported).await;
-        let needed = MIN_REPORTERS.max(self.engine.watchers(group.name()).div_ceil(3));
+        let needed = MIN_REPORTERS.max(self.engine.monitor_count(group.name()).div_ceil(3));
         let is_reported_by_enough = reporters >= needed;
         let mut suspicion = verified.or(is_reported_by_enough.then_some(Suspicion::Unreachable));
         if suspicion.is_none() && holds_lease && self.try_start_move(group.name()).await {
@@ -175,7 +175,7 @@
             return;
         }
         if suspicion == Suspicion::Unreachable
-            && let Some(pool) = self.engine.pool_of(&leader)
+            && let Some(pool) = self.engine.pool_by_id(&leader)
         {
             pool.lose_idle();
         }
@@ -188,7 +188,7 @@
         });
         if self.lease.check().is_some() {
             self.promote(group.name()).await;
-        } else if self.engine.watches(&leader) {
+        } else if self.engine.monitors_member(&leader) {
             self.lease.become_candidate();
             self.report(group.name(), view.epoch, suspicion).await;
             sleep(REPORTED_PAUSE).await;
--- a/crates/engine/src/link/frame.rs
+++ b/crates/engine/src/link/frame.rs
@@ -2,7 +2,7 @@
 
 use crate::encoding;
 use crate::names::{DatabaseName, GroupName, MemberId, RequestId, TenantName};
-use crate::ports::{Answer, DeclaredState, DeclaredVersions, GroupBelief, Record};
+use crate::ports::{Answer, DeclaredState, DeclaredVersions, GroupSnapshot, Record};
 use crate::position::LogPosition;
 use crate::rate::counter::{PermitReply, Shard};
 use crate::statement::{Access, PreparedStatement};
@@ -33,7 +33,7 @@
         /// The group.
         group: GroupName,
         /// What is to be recent.
-        wanted: Wanted,
+        wanted: RequiredFreshness,
     },
     /// Tell what is newer.
     Follow {
@@ -77,7 +77,7 @@
 
 /// What a process needs to be recent in a home's belief.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Wanted {
+pub enum RequiredFreshness {
     /// Evidence for the leader's term.
     Evidence,
     /// The same, from the store if need be, asked of its keeper.
@@ -175,7 +175,7 @@
 
 /// What a process that follows the store knows that is newer.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct News {
+pub struct StoreUpdates {
     /// Since when something may have changed that it does not know; `None` where it does not
     /// reach the store now. Counted when the question came, which is after it was sent.
     pub age: Option<Duration>,
@@ -220,14 +220,14 @@
         /// The question.
         exchange: ExchangeId,
         /// The beliefs; none where the group is not known.
-        beliefs: Vec<GroupBelief>,
+        beliefs: Vec<GroupSnapshot>,
     },
     /// What is newer.
     News {
         /// The question.
         exchange: ExchangeId,
         /// The news.
-        news: Box<News>,
+        news: Box<StoreUpdates>,
     },
     /// What came of asking for a permit.
     Drawn {
--- a/crates/engine/src/rate/permit_request.rs
+++ b/crates/engine/src/rate/permit_request.rs
@@ -280,14 +280,14 @@
     let link = engine.homes().links().first_usable(&[address]).await?;
     let sent_at = Instant::now();
     let takes = !waiting.is_closed();
-    match timeout(REPLY_TIMEOUT, link.draw(shard, tenant, takes)).await {
+    match timeout(REPLY_TIMEOUT, link.request_permit(shard, tenant, takes)).await {
         Ok(Some(PermitReply::NotCounted)) | Ok(None) => None,
         Ok(Some(reply)) => {
             engine.homes().note_counter(shard, address);
             Some((sent_at, reply))
         }
         Err(_) => {
-            link.note_silence(sent_at);
+            link.report_timeout(sent_at);
             None
         }
     }
--- a/crates/engine/src/rate/shard_lease.rs
+++ b/crates/engine/src/rate/shard_lease.rs
@@ -284,8 +284,12 @@
 /// without a store call when it expires, so a successor takes over then without a request.
 async fn announce_lease(engine: &Engine, shard: Shard, record: &LeaseRecord) {
     let addresses = engine.homes().counter_addresses(shard);
-    let tell = |link: &Link| link.tell_lease(shard, record);
-    engine.homes().links().tell_each(addresses, tell).await;
+    let tell = |link: &Link| link.send_counter_lease(shard, record);
+    engine
+        .homes()
+        .links()
+        .for_each_usable(addresses, tell)
+        .await;
 }
 
 /// Renews a lease. If the store is unreachable from this process only, the call fails after a long
@@ -310,7 +314,7 @@
 async fn warn_candidates(engine: &Engine, shard: Shard) {
     for address in engine.homes().counter_addresses(shard) {
         if let Some(link) = engine.homes().links().first_usable(&[address]).await {
-            link.want(shard);
+            link.prepare_counter(shard);
         }
     }
 }
--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -9,11 +9,12 @@
 use crate::leadership::freshness;
 use crate::leadership::term_confirmation;
 use crate::link::frame::{
-    FromHome, HomeOutcome, RunRequest, ToHome, UnitId, Wanted, decode, encode, encode_in_parts,
+    FromHome, HomeOutcome, RequiredFreshness, RunRequest, ToHome, UnitId, decode, encode,
+    encode_in_parts,
 };
 use crate::names::{GroupName, MemberId, RequestId};
-use crate::peers::beliefs;
-use crate::ports::{GroupBelief, PeerLink};
+use crate::peers::group_snapshots;
+use crate::ports::{GroupSnapshot, PeerLink};
 use crate::rate::counter::PermitReply;
 use crate::statement::TransactionState;
 use bytes::Bytes;
@@ -105,7 +106,7 @@
                 let task = task.clone();
                 tokio::spawn(async move {
                     let wait = wait.min(MAX_NEWS_WAIT);
-                    let news = Box::new(following::news(&task.engine, known, wait).await);
+                    let news = Box::new(following::updates_since(&task.engine, known, wait).await);
                     let answer = FromHome::News { exchange, news };
                     for part in encode_in_parts(exchange, &answer) {
                         if task.tx.send(part).await.is_err() {
@@ -238,32 +239,34 @@
     }
 
     /// What this process believes of `group`, after a look at what is wanted.
-    async fn group_beliefs(&self, group: GroupName, wanted: Wanted) -> Vec<GroupBelief> {
+    async fn group_beliefs(&self, group: GroupName, wanted: RequiredFreshness) -> Vec<GroupSnapshot> {
         if !self.engine.directory().has_group(&group) {
             return Vec::new();
         }
         let state = self.engine.group(&group);
         // What can't be renewed in time is told as it is.
         let _ = timeout(RENEWAL_TIMEOUT, self.renew(&state, wanted)).await;
-        beliefs(&self.engine, &[group])
+        group_snapshots(&self.engine, &[group])
     }
 
-    async fn renew(&self, group: &Group, wanted: Wanted) {
+    async fn renew(&self, group: &Group, wanted: RequiredFreshness) {
         let now = Instant::now();
         let is_recent = |at: Option<Instant>, age| at.is_some_and(|at| now < at + age);
         if !is_recent(group.evidence(), MAX_EVIDENCE_AGE) {
             match wanted {
-                Wanted::StoreEvidence => {
+                RequiredFreshness::StoreEvidence => {
                     if !term_confirmation::renew(&self.engine, group).await {
                         // A failure is told by the task that follows the records.
                         let _ = self.engine.terms().refresh(&self.engine, group, now).await;
                     }
                 }
-                Wanted::Evidence | Wanted::Position => renew_evidence(&self.engine, group).await,
+                RequiredFreshness::Evidence | RequiredFreshness::Position => {
+                    renew_evidence(&self.engine, group).await
+                }
             }
         }
         let covered = group.newest_covering().map(|sample| sample.at);
-        if wanted == Wanted::Position && !is_recent(covered, MAX_POSITION_AGE) {
+        if wanted == RequiredFreshness::Position && !is_recent(covered, MAX_POSITION_AGE) {
             freshness::ask_leader(&self.engine, group).await;
         }
     }
--- a/crates/engine/tests/departures.rs
+++ b/crates/engine/tests/departures.rs
@@ -38,7 +38,7 @@
     };
     advance(Duration::from_millis(waited_ms)).await;
     let engine = &fleet.nodes[0].engine;
-    assert_eq!(engine.settings().leaving_use, USE);
+    assert_eq!(engine.settings().departure_grace, USE);
     for state in [
         MemberState::Leaving(departure),
         MemberState::Gone(departure),
@@ -178,7 +178,7 @@
     let directory = engines[0].directory();
     engines[0].set_directory(directory.replaced(version, present.collect(), departure));
     fleet.world.hidden.lock().unwrap().insert("c".to_owned());
-    stilequay_engine::peers::declared::ask(engines[1]).await;
+    stilequay_engine::peers::declared::query(engines[1]).await;
     let state = engines[1]
         .directory()
         .member("c")
--- a/crates/engine/tests/support/mod.rs
+++ b/crates/engine/tests/support/mod.rs
@@ -222,8 +222,8 @@
             topology: Topology::new(Arc::from(zone), (self.regions)(name)),
             peer_address: Some(MemoryPeers::address_of(name)),
             weight: 1.0,
-            contact: Duration::from_secs(4),
-            leaving_use: Duration::from_secs(4),
+            propagation_bound: Duration::from_secs(4),
+            departure_grace: Duration::from_secs(4),
             configuration_bound: Duration::from_secs(3),
             evacuation_bound: self.evacuation_bound,
             slow_start: SlowStartBounds {
@@ -359,13 +359,17 @@
             continue;
         }
         let now = Instant::now();
-        engine.following().heard(Feed::Configuration, now, version);
+        engine
+            .following()
+            .mark_current(Feed::Configuration, now, version);
         if records.serves(&engine.settings().node) {
             engine.set_evacuations(operator.evacuations.borrow().clone());
             engine.set_configuration(operator.configuration.borrow().clone());
             engine.following().prove_configuration(now);
         }
-        engine.following().heard(Feed::Directory, now, version);
+        engine
+            .following()
+            .mark_current(Feed::Directory, now, version);
         let next =
             engine
                 .directory()
