--- a/crates/engine/src/home/unit.rs
+++ b/crates/engine/src/home/unit.rs
@@ -6,7 +6,9 @@
 use crate::evacuation::MayNotSend;
 use crate::group::{Group, UsableLeader};
 use crate::link::frame::{HomeCommand, HomeOutcome, NotSent, RunRequest};
-use crate::pool::{AcquireError, Claim, MemberPool, PooledConnection, RunError, Work};
+use crate::pool::{
+    AcquireError, AcquireRequest, MemberPool, PooledConnection, RunError, SessionStatement,
+};
 use crate::ports::{Answer, Command, Refusal, RefusalKind};
 use crate::routing::is_past_use;
 use crate::statement::{Access, TransactionState};
@@ -45,7 +47,7 @@
         let pool = usable_pool(engine, &request.member, now)?;
         check_regions(engine, request, &pool)?;
         let group = engine.group(&pool.member().group);
-        let claim = Claim {
+        let acquire_request = AcquireRequest {
             database: request.database.clone(),
             tenant: request.tenant.clone(),
             rank: request.rank,
@@ -57,7 +59,9 @@
             true => now,
             false => until,
         };
-        let acquired = pool.acquire_paced(&claim, until, paced_until).await;
+        let acquired = pool
+            .acquire_paced(&acquire_request, until, paced_until)
+            .await;
         let connection = acquired.map_err(|error| match error {
             AcquireError::Exhausted => NotSent::Exhausted,
             AcquireError::Shed(retry_after) => NotSent::Shed { retry_after },
@@ -125,8 +129,8 @@
                 self.learn(leader.as_ref(), sent, commits, &answer);
                 HomeOutcome::Answered(answer)
             }
-            Err(RunError::Before(error)) => self.failed_before(error.to_string()),
-            Err(RunError::After(error)) => HomeOutcome::Lost(error.to_string()),
+            Err(RunError::BeforeSend(error)) => self.failed_before(error.to_string()),
+            Err(RunError::AfterSend(error)) => HomeOutcome::Lost(error.to_string()),
         }
     }
 
@@ -159,7 +163,7 @@
 
     async fn run_command(&mut self, command: HomeCommand) -> Result<Answer, RunError> {
         let connection = &mut self.connection;
-        let after_sent = RunError::After;
+        let after_sent = RunError::AfterSend;
         match command {
             HomeCommand::Begin { read_only, after } => {
                 let begin = Command::Begin { read_only, after };
@@ -177,8 +181,8 @@
                 after,
             } => {
                 self.wrote |= access == Access::Write;
-                let work = Work::Text { text, access };
-                connection.run_work(&id, &work, after).await
+                let work = SessionStatement::Text { text, access };
+                connection.run_statement(&id, &work, after).await
             }
             HomeCommand::Execute {
                 id,
@@ -187,11 +191,11 @@
                 after,
             } => {
                 self.wrote |= prepared.access == Access::Write;
-                let work = Work::Prepared {
+                let work = SessionStatement::Prepared {
                     prepared,
                     arguments,
                 };
-                connection.run_work(&id, &work, after).await
+                connection.run_statement(&id, &work, after).await
             }
         }
     }
--- a/crates/engine/src/leadership/freshness.rs
+++ b/crates/engine/src/leadership/freshness.rs
@@ -8,7 +8,7 @@
 use crate::home;
 use crate::names::are_lives_of_one;
 use crate::peers;
-use crate::pool::Claim;
+use crate::pool::AcquireRequest;
 use crate::ports::{Command, Control};
 use crate::position::LogPosition;
 use crate::residency::Residency;
@@ -115,7 +115,11 @@
     let member = Residency::ANYWHERE.admit(topology, Arc::clone(member))?;
     let pool = engine.session_pool(&member);
     let until = now + QUESTION_TIMEOUT;
-    let mut connection = pool.get().acquire(&Claim::own(), until).await.ok()?;
+    let mut connection = pool
+        .get()
+        .acquire(&AcquireRequest::internal(), until)
+        .await
+        .ok()?;
     let sent = Instant::now();
     let begin = Command::Begin {
         read_only: false,
--- a/crates/engine/src/pool/claim.rs
+++ b/crates/engine/src/pool/acquire_request.rs
@@ -14,7 +14,7 @@
 
 /// For whom a connection is used.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Claim {
+pub struct AcquireRequest {
     /// The database that its session is for: connections are shared fairly between these.
     pub database: DatabaseName,
     /// On whose behalf it is used: a connection serves one tenant for its life. `None` where
@@ -28,9 +28,9 @@
     pub patience: Duration,
 }
 
-impl Claim {
+impl AcquireRequest {
     /// A claim of the engine's own, for orders and questions.
-    pub fn own() -> Self {
+    pub fn internal() -> Self {
         Self {
             database: DatabaseName::from(""),
             tenant: None,
--- a/crates/engine/src/pool/connection.rs
+++ b/crates/engine/src/pool/connection.rs
@@ -27,7 +27,7 @@
 
 /// A statement of a session, ready to run anywhere.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Work {
+pub enum SessionStatement {
     /// A text.
     Text {
         /// The whole of it.
@@ -49,11 +49,11 @@
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum RunError {
         /// The connection failed before the work was sent. Not run.
-        Before(error: LinkError) {
+        BeforeSend(error: LinkError) {
             display("before the statement was sent: {error}")
         }
         /// The connection failed after the work was sent. It may have run.
-        After(error: LinkError) {
+        AfterSend(error: LinkError) {
             display("after the statement was sent: {error}")
         }
     }
@@ -219,24 +219,24 @@
     /// # Errors
     ///
     /// [`RunError`] tells whether the work itself was sent.
-    pub async fn run_work(
+    pub async fn run_statement(
         &mut self,
         id: &RequestId,
-        work: &Work,
+        statement: &SessionStatement,
         after: Option<LogPosition>,
     ) -> Result<Answer, RunError> {
-        let command = self.command(id, work, after).await?;
-        self.check_sending().map_err(RunError::Before)?;
-        let answer = self.run(&command).await.map_err(RunError::After)?;
+        let command = self.command(id, statement, after).await?;
+        self.check_sending().map_err(RunError::BeforeSend)?;
+        let answer = self.run(&command).await.map_err(RunError::AfterSend)?;
         if !is_unknown_prepared(&answer) {
             return Ok(answer);
         }
         self.established()
-            .map_err(RunError::Before)?
+            .map_err(RunError::BeforeSend)?
             .prepared
             .clear();
-        let command = self.command(id, work, after).await?;
-        self.run(&command).await.map_err(RunError::After)
+        let command = self.command(id, statement, after).await?;
+        self.run(&command).await.map_err(RunError::AfterSend)
     }
 
     /// Rolls an open transaction back in a task of its own, so that the connection can be
@@ -251,23 +251,23 @@
     async fn command(
         &mut self,
         id: &RequestId,
-        work: &Work,
+        statement: &SessionStatement,
         after: Option<LogPosition>,
     ) -> Result<Command, RunError> {
         let id = id.clone();
-        match work {
-            Work::Text { text, access } => Ok(Command::Run {
+        match statement {
+            SessionStatement::Text { text, access } => Ok(Command::Run {
                 id,
                 text: text.clone(),
                 access: *access,
                 after,
             }),
-            Work::Prepared {
+            SessionStatement::Prepared {
                 prepared,
                 arguments,
             } => Ok(Command::Execute {
                 id,
-                name: self.prepare(prepared).await.map_err(RunError::Before)?,
+                name: self.prepare(prepared).await.map_err(RunError::BeforeSend)?,
                 arguments: arguments.clone(),
                 after,
             }),
--- a/crates/engine/src/pool/member.rs
+++ b/crates/engine/src/pool/member.rs
@@ -1,6 +1,6 @@
 //! The connections to one member.
 
-use super::claim::{Claim, QUEUE_TIME};
+use super::acquire_request::{AcquireRequest, QUEUE_TIME};
 use super::concurrency::Concurrency;
 use super::connection::{Established, PooledConnection, SessionValues};
 use super::error::{AcquireError, OrderError};
@@ -198,10 +198,11 @@
     /// [`AcquireError`] where there is none by `deadline`.
     pub async fn acquire(
         self: &Arc<Self>,
-        claim: &Claim,
+        acquire_request: &AcquireRequest,
         deadline: Instant,
     ) -> Result<PooledConnection, AcquireError> {
-        self.acquire_paced(claim, deadline, deadline).await
+        self.acquire_paced(acquire_request, deadline, deadline)
+            .await
     }
 
     /// As [`MemberPool::acquire`]; a cold member is waited for until `paced_until` only, where
@@ -212,16 +213,16 @@
     /// As for [`MemberPool::acquire`].
     pub async fn acquire_paced(
         self: &Arc<Self>,
-        claim: &Claim,
+        acquire_request: &AcquireRequest,
         deadline: Instant,
         paced_until: Instant,
     ) -> Result<PooledConnection, AcquireError> {
         self.check_sending()?;
-        let permit = self.admit(claim, deadline).await?;
+        let permit = self.admit(acquire_request, deadline).await?;
         // The wait may have been long.
         self.check_sending()?;
-        let mut connection = self.connection(claim, permit, deadline).await?;
-        connection.admit(claim.admission(deadline));
+        let mut connection = self.connection(acquire_request, permit, deadline).await?;
+        connection.admit(acquire_request.admission(deadline));
         let paced = connection.pace(paced_until).await;
         paced.map_err(AcquireError::SlowStart)?;
         Ok(connection)
@@ -230,17 +231,19 @@
     /// A connection under `permit`: one that rests, or a new one.
     async fn connection(
         self: &Arc<Self>,
-        claim: &Claim,
+        acquire_request: &AcquireRequest,
         permit: Permit<DatabaseName>,
         deadline: Instant,
     ) -> Result<PooledConnection, AcquireError> {
-        if let Some(established) = self.take_idle(claim.tenant.as_ref(), &claim.values) {
+        if let Some(established) =
+            self.take_idle(acquire_request.tenant.as_ref(), &acquire_request.values)
+        {
             return Ok(self.in_use_connection(established, permit));
         }
         let now = Instant::now();
         self.check_opening(now)?;
         self.make_room(now)?;
-        let mut opening = self.spawn_open(claim.tenant.clone(), permit);
+        let mut opening = self.spawn_open(acquire_request.tenant.clone(), permit);
         match timeout_at(deadline, &mut opening).await {
             Ok(Ok(opened)) => opened,
             Ok(Err(error)) => Err(AcquireError::Unreachable(error.to_string())),
@@ -252,15 +255,17 @@
     /// be it before or after the wait began.
     async fn admit(
         &self,
-        claim: &Claim,
+        acquire_request: &AcquireRequest,
         deadline: Instant,
     ) -> Result<Permit<DatabaseName>, AcquireError> {
         let began = Instant::now();
         self.check_reachable(began)?;
-        let database = claim.database.clone();
-        let admission = self.connections.admit(database, claim.limits(), deadline);
+        let database = acquire_request.database.clone();
+        let admission = self
+            .connections
+            .admit(database, acquire_request.limits(), deadline);
         let mut admission = std::pin::pin!(admission);
-        let mut look_at = began + claim.patience;
+        let mut look_at = began + acquire_request.patience;
         let admitted = loop {
             tokio::select! {
                 biased;
@@ -334,9 +339,9 @@
             Ok(mut connection) => Ok(connection.control(control).await?),
             Err(ConnectError::TooManyConnections) => {
                 let until = Instant::now() + ORDER_WAIT;
-                let claim = Claim::own();
-                let permit = self.admit(&claim, until).await?;
-                let mut connection = self.connection(&claim, permit, until).await?;
+                let acquire_request = AcquireRequest::internal();
+                let permit = self.admit(&acquire_request, until).await?;
+                let mut connection = self.connection(&acquire_request, permit, until).await?;
                 Ok(connection.control(control).await?)
             }
             Err(error) => Err(OrderError::Connect(error)),
@@ -344,13 +349,15 @@
     }
 
     async fn try_idle(self: &Arc<Self>) -> Option<PooledConnection> {
-        let claim = Claim::own();
+        let acquire_request = AcquireRequest::internal();
         let at_once = TenantLimits {
             queue_length: 0,
-            ..claim.limits()
+            ..acquire_request.limits()
         };
         let until = Instant::now() + ORDER_WAIT;
-        let admission = self.connections.admit(claim.database, at_once, until);
+        let admission = self
+            .connections
+            .admit(acquire_request.database, at_once, until);
         let permit = admission.await.ok()?;
         let established = self.take_idle(None, &SessionValues::default())?;
         Some(self.in_use_connection(established, permit))
--- a/crates/engine/src/pool/mod.rs
+++ b/crates/engine/src/pool/mod.rs
@@ -4,7 +4,7 @@
 //! back. Only a connection whose last answer was read to its end and that is outside any
 //! transaction goes back; every other one is closed.
 
-mod claim;
+mod acquire_request;
 mod concurrency;
 mod connection;
 mod error;
@@ -13,9 +13,9 @@
 mod queue;
 mod set;
 
-pub use claim::Claim;
+pub use acquire_request::AcquireRequest;
 pub use concurrency::Concurrency;
-pub use connection::{PooledConnection, RunError, SessionValues, Work};
+pub use connection::{PooledConnection, RunError, SessionStatement, SessionValues};
 pub use error::{AcquireError, OrderError};
 pub use health::MemberHealth;
 pub use member::MemberPool;
--- a/crates/engine/src/session/mod.rs
+++ b/crates/engine/src/session/mod.rs
@@ -22,7 +22,7 @@
 use crate::group::Group;
 use crate::leadership::access;
 use crate::names::{DatabaseName, TenantName};
-use crate::pool::{Claim, SessionValues, Work};
+use crate::pool::{AcquireRequest, SessionStatement, SessionValues};
 use crate::rate::{self, Permit};
 use crate::statement::{Access, PreparedStatement, Reply, Request, Statement, TransactionState};
 use crate::tenant::{Credential, Tenant};
@@ -167,7 +167,7 @@
                 let prepared = prepared.ok_or_else(unknown)?;
                 let access = prepared.access;
                 let arguments = arguments.clone();
-                let work = Work::Prepared {
+                let work = SessionStatement::Prepared {
                     prepared,
                     arguments,
                 };
@@ -184,7 +184,7 @@
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let text = text.clone();
-        let work = Work::Text { text, access };
+        let work = SessionStatement::Text { text, access };
         self.run(request, access, work, trace).await
     }
 
@@ -192,7 +192,7 @@
         &mut self,
         request: &Request,
         access: Access,
-        work: Work,
+        work: SessionStatement,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         self.authorize(request)?;
@@ -288,8 +288,8 @@
     }
 
     /// For whom connections are used under `route`.
-    fn claim(&self, route: &Route) -> Claim {
-        Claim {
+    fn acquire_request(&self, route: &Route) -> AcquireRequest {
+        AcquireRequest {
             database: self.database.clone(),
             tenant: self.tenant_name().cloned(),
             rank: route.priority,
--- a/crates/engine/src/session/offer.rs
+++ b/crates/engine/src/session/offer.rs
@@ -5,7 +5,7 @@
 use super::write::shed;
 use crate::engine::Engine;
 use crate::names::MemberId;
-use crate::pool::{AcquireError, Claim, PooledConnection};
+use crate::pool::{AcquireError, AcquireRequest, PooledConnection};
 use crate::verdict::{Failure, FailureReason};
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
@@ -40,7 +40,7 @@
 pub(super) async fn first_connection(
     engine: &Engine,
     targets: &[Target],
-    claim: &Claim,
+    acquire_request: &AcquireRequest,
     until: Instant,
 ) -> Result<Offer, Vec<Declined>> {
     let mut next = 0;
@@ -51,7 +51,8 @@
         if next < targets.len() && (waiting.is_empty() || Instant::now() >= next_at) {
             let index = next;
             let target = &targets[index];
-            waiting.push(async move { (index, target.acquire(engine, claim, until).await) });
+            waiting
+                .push(async move { (index, target.acquire(engine, acquire_request, until).await) });
             next += 1;
             next_at = Instant::now() + HEAD_START;
         }
--- a/crates/engine/src/session/read.rs
+++ b/crates/engine/src/session/read.rs
@@ -13,7 +13,7 @@
 use crate::group::{Group, UsableLeader};
 use crate::leadership::{access, freshness};
 use crate::names::{MemberId, RequestId};
-use crate::pool::{Claim, MemberPool, PooledConnection, RunError, Work};
+use crate::pool::{AcquireRequest, MemberPool, PooledConnection, RunError, SessionStatement};
 use crate::ports::{Answer, Refusal, RefusalKind};
 use crate::position::LogPosition;
 use crate::residency::Residency;
@@ -38,8 +38,8 @@
 #[derive(Debug, Clone)]
 struct ReadJob {
     id: RequestId,
-    work: Work,
-    claim: Claim,
+    work: SessionStatement,
+    acquire_request: AcquireRequest,
     group: Arc<Group>,
     limits: StatementLimits,
 }
@@ -79,7 +79,7 @@
         &mut self,
         request: &Request,
         route: &Arc<Route>,
-        work: Work,
+        work: SessionStatement,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let group = self.engine.group(&route.group);
@@ -87,7 +87,7 @@
         let job = ReadJob {
             id: request.id.clone(),
             work,
-            claim: self.claim(route),
+            acquire_request: self.acquire_request(route),
             group: Arc::clone(&group),
             limits,
         };
@@ -224,7 +224,7 @@
                     }
                     wants_member = true;
                 }
-                offered = first_connection(&self.engine, &targets, &job.claim, job.limits.offer),
+                offered = first_connection(&self.engine, &targets, &job.acquire_request, job.limits.offer),
                     if wants_member && !targets.is_empty() => match offered {
                         Ok(Offer { index, connection }) => {
                             let target = targets.remove(index);
@@ -297,13 +297,15 @@
     let reached = leader.as_ref().and_then(|at| job.group.reached_by(at));
     let sent = Instant::now();
     let running = async {
-        let put = connection.put_values(&job.claim.values).await;
-        put.map_err(RunError::Before)?;
-        connection.run_work(&job.id, &job.work, target.after).await
+        let put = connection.put_values(&job.acquire_request.values).await;
+        put.map_err(RunError::BeforeSend)?;
+        connection
+            .run_statement(&job.id, &job.work, target.after)
+            .await
     };
     let answer = match timeout_at(job.limits.answer, running).await {
         Ok(Ok(answer)) => answer,
-        Ok(Err(RunError::Before(error))) => return ReadOutcome::NotSent(error.to_string()),
+        Ok(Err(RunError::BeforeSend(error))) => return ReadOutcome::NotSent(error.to_string()),
         Ok(Err(error)) => return ReadOutcome::Lost(error.to_string()),
         Err(_) => {
             pool.note_unanswered(sent);
--- a/crates/engine/src/session/target.rs
+++ b/crates/engine/src/session/target.rs
@@ -9,7 +9,7 @@
 use crate::directory::Member;
 use crate::engine::Engine;
 use crate::group::{Group, UsableLeader};
-use crate::pool::{AcquireError, Claim, MemberPool, PooledConnection};
+use crate::pool::{AcquireError, AcquireRequest, MemberPool, PooledConnection};
 use crate::position::LogPosition;
 use crate::residency::{Allowed, Residency};
 use crate::routing::{ReadCandidate, is_past_use, may_be_used};
@@ -69,11 +69,11 @@
     pub(super) async fn acquire(
         &self,
         engine: &Engine,
-        claim: &Claim,
+        acquire_request: &AcquireRequest,
         until: Instant,
     ) -> Result<PooledConnection, AcquireError> {
-        let connection = self.pool.get().acquire(claim, until).await?;
-        let now = engine.residency(&claim.database, claim.tenant.as_ref());
+        let connection = self.pool.get().acquire(acquire_request, until).await?;
+        let now = engine.residency(&acquire_request.database, acquire_request.tenant.as_ref());
         if !is_still_allowed(engine, self.pool(), self.residency(), &now) {
             return Err(AcquireError::OutsideRegions);
         }
--- a/crates/engine/src/session/transaction/mod.rs
+++ b/crates/engine/src/session/transaction/mod.rs
@@ -10,7 +10,7 @@
 use crate::engine::Engine;
 use crate::group::{Group, UsableLeader};
 use crate::names::{RequestId, TenantName};
-use crate::pool::{PooledConnection, RunError, SessionValues, Work};
+use crate::pool::{PooledConnection, RunError, SessionStatement, SessionValues};
 use crate::ports::{Answer, Command, Refusal, RefusalKind};
 use crate::residency::Residency;
 use crate::session::target::is_still_allowed;
@@ -142,7 +142,7 @@
         &mut self,
         request: &Request,
         access: Access,
-        work: Work,
+        work: SessionStatement,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let Some(mut transaction) = self.transaction.take() else {
@@ -250,14 +250,14 @@
     mut open: OpenTransaction,
     request: &Request,
     access: Access,
-    work: &Work,
+    work: &SessionStatement,
     trace: &mut RequestTrace,
 ) -> Result<Completion, Failure> {
     let limits = StatementLimits::new(&transaction.route, request.received);
     let member = open.connection.pool().member().id.clone();
     loop {
         let sent = Instant::now();
-        let running = open.connection.run_work(&request.id, work, None);
+        let running = open.connection.run_statement(&request.id, work, None);
         let answer = await_in_time(running, limits.answer)
             .await
             .told(open.connection.pool(), sent, trace)
@@ -298,7 +298,7 @@
     let connection = &mut open.connection;
     let running = async {
         loop {
-            let answer = connection.run(&commit).await.map_err(RunError::After)?;
+            let answer = connection.run(&commit).await.map_err(RunError::AfterSend)?;
             let busy = matches!(&answer.outcome, Err(r) if r.kind == RefusalKind::Busy);
             let time_left = Instant::now() + RETRY_PAUSE < limits.offer;
             if !(busy && time_left && answer.state == TransactionState::Open) {
--- a/crates/engine/src/session/transaction/opening.rs
+++ b/crates/engine/src/session/transaction/opening.rs
@@ -4,7 +4,7 @@
 use crate::configuration::Consistency;
 use crate::group::UsableLeader;
 use crate::leadership::access;
-use crate::pool::{Claim, PooledConnection, RunError, Work};
+use crate::pool::{AcquireRequest, PooledConnection, RunError, SessionStatement};
 use crate::ports::{Command, RefusalKind};
 use crate::session::evacuated::check_route;
 use crate::session::limits::StatementLimits;
@@ -43,11 +43,11 @@
         transaction: &mut Transaction,
         request: &Request,
         access: Access,
-        work: Option<Work>,
+        work: Option<SessionStatement>,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let limits = self.limits(&transaction.route, &transaction.group, request.received);
-        let claim = self.claim(&transaction.route);
+        let acquire_request = self.acquire_request(&transaction.route);
         let mut permit = None;
         loop {
             let consistency = match transaction.read_only {
@@ -62,7 +62,8 @@
                 let drawn = self.permit(permit, limits).await?;
                 permit = Some(drawn);
                 let until = limits.under(drawn).offer;
-                let offered = first_connection(&self.engine, &places.targets, &claim, until);
+                let offered =
+                    first_connection(&self.engine, &places.targets, &acquire_request, until);
                 let Offer { index, connection } = match offered.await {
                     Ok(offer) => offer,
                     Err(declined) => {
@@ -81,7 +82,7 @@
                     work: work.as_ref(),
                     limits,
                 };
-                match open_at(transaction, place, &claim, first, trace).await {
+                match open_at(transaction, place, &acquire_request, first, trace).await {
                     Attempt::Decided(outcome) => return outcome,
                     Attempt::NotRun(latest) => reason = latest,
                 }
@@ -135,7 +136,7 @@
     request: &'a Request,
     access: Access,
     /// None where there is nothing to run before the commit.
-    work: Option<&'a Work>,
+    work: Option<&'a SessionStatement>,
     limits: StatementLimits,
 }
 
@@ -143,7 +144,7 @@
 async fn open_at(
     transaction: &mut Transaction,
     place: Place,
-    claim: &Claim,
+    acquire_request: &AcquireRequest,
     first: FirstStatement<'_>,
     trace: &mut RequestTrace,
 ) -> Attempt<Completion> {
@@ -163,9 +164,9 @@
     let reached = reached.and_then(|leader| transaction.group.reached_by(leader));
     let sent = Instant::now();
     let opening = async {
-        let put = connection.put_values(&claim.values).await;
-        put.map_err(RunError::Before)?;
-        connection.run(&begin).await.map_err(RunError::Before)
+        let put = connection.put_values(&acquire_request.values).await;
+        put.map_err(RunError::BeforeSend)?;
+        connection.run(&begin).await.map_err(RunError::BeforeSend)
     };
     let awaited = await_in_time(opening, first.limits.offer).await;
     let answer = match awaited.told(pool, sent, trace) {
@@ -191,7 +192,7 @@
     if let Some(leader) = &leader {
         transaction.group.confirm_leader(leader);
     }
-    transaction.tenant = claim.tenant.clone();
+    transaction.tenant = acquire_request.tenant.clone();
     let open = OpenTransaction {
         connection,
         leader,
@@ -209,13 +210,13 @@
 async fn first_statement(
     transaction: &mut Transaction,
     mut open: OpenTransaction,
-    work: &Work,
+    work: &SessionStatement,
     first: &FirstStatement<'_>,
     trace: &mut RequestTrace,
 ) -> Attempt<Completion> {
     let member = open.connection.pool().member().id.clone();
     let sent = Instant::now();
-    let running = open.connection.run_work(&first.request.id, work, None);
+    let running = open.connection.run_statement(&first.request.id, work, None);
     let awaited = await_in_time(running, first.limits.answer).await;
     let answer = match awaited.told(open.connection.pool(), sent, trace) {
         Ok(answer) => answer,
--- a/crates/engine/src/session/write.rs
+++ b/crates/engine/src/session/write.rs
@@ -9,7 +9,9 @@
 use crate::group::{Group, UsableLeader};
 use crate::leadership::access;
 use crate::names::RequestId;
-use crate::pool::{AcquireError, Claim, MemberPool, PooledConnection, RunError, Work};
+use crate::pool::{
+    AcquireError, AcquireRequest, MemberPool, PooledConnection, RunError, SessionStatement,
+};
 use crate::ports::{Answer, Refusal, RefusalKind};
 use crate::statement::{Request, TransactionState};
 use crate::verdict::{Failure, FailureReason, MemberFailure};
@@ -20,8 +22,8 @@
 /// One write, as it is given to a leader.
 struct WriteJob<'a> {
     id: &'a RequestId,
-    work: &'a Work,
-    claim: Claim,
+    work: &'a SessionStatement,
+    acquire_request: AcquireRequest,
     group: &'a Group,
     limits: StatementLimits,
 }
@@ -82,8 +84,8 @@
             Awaited::Answered(Err(error)) => {
                 trace.attempted(member, error.to_string());
                 Err(match error {
-                    RunError::Before(_) => Unanswered::NotSent,
-                    RunError::After(_) => Unanswered::Lost,
+                    RunError::BeforeSend(_) => Unanswered::NotSent,
+                    RunError::AfterSend(_) => Unanswered::Lost,
                 })
             }
             Awaited::TimedOut => {
@@ -105,7 +107,7 @@
         &mut self,
         request: &Request,
         route: &Arc<Route>,
-        work: Work,
+        work: SessionStatement,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let group = self.engine.group(&route.group);
@@ -131,7 +133,7 @@
             let job = WriteJob {
                 id: &request.id,
                 work: &work,
-                claim: self.claim(route),
+                acquire_request: self.acquire_request(route),
                 group: &group,
                 limits: StatementLimits::new(route, request.received).under(drawn),
             };
@@ -150,7 +152,7 @@
         trace: &mut RequestTrace,
     ) -> Attempt<Completion> {
         let WriteJob { group, limits, .. } = job;
-        let acquired = target.acquire(&self.engine, &job.claim, limits.offer);
+        let acquired = target.acquire(&self.engine, &job.acquire_request, limits.offer);
         let mut connection = match acquired.await {
             Ok(connection) => connection,
             Err(error) => {
@@ -166,7 +168,7 @@
         if !target.pool().is_remote() {
             group.record_commit_sent(sent);
         }
-        let running = connection.run_work(job.id, job.work, None);
+        let running = connection.run_statement(job.id, job.work, None);
         let awaited = await_answer(running, group, leader, limits.answer).await;
         self.judge_write(awaited, connection, group, leader, sent, trace)
     }
--- a/crates/engine/tests/pool.rs
+++ b/crates/engine/tests/pool.rs
@@ -8,7 +8,7 @@
 use stilequay_engine::directory::{Departure, Directory, Member};
 use stilequay_engine::leadership::fleet::connection_share;
 use stilequay_engine::names::TenantName;
-use stilequay_engine::pool::{AcquireError, Claim, MemberPool};
+use stilequay_engine::pool::{AcquireError, AcquireRequest, MemberPool};
 use stilequay_engine::ports::{BackEnd, BackEndConnection, Command, ConnectError};
 use support::servers::{World, WorldBackEnd};
 use tokio::time::{Instant, sleep};
@@ -63,11 +63,11 @@
 #[tokio::test(start_paused = true)]
 async fn an_opening_that_is_given_up_is_kept_for_the_next() {
     let (_world, back_end, pool) = pool(Duration::from_millis(100));
-    let claim = Claim::own();
-    let given_up = pool.acquire(&claim, soon(40)).await;
+    let acquire_request = AcquireRequest::internal();
+    let given_up = pool.acquire(&acquire_request, soon(40)).await;
     assert_eq!(given_up.err(), Some(AcquireError::Exhausted));
     sleep(Duration::from_millis(100)).await;
-    assert!(pool.acquire(&claim, soon(5)).await.is_ok());
+    assert!(pool.acquire(&acquire_request, soon(5)).await.is_ok());
     assert_eq!(opened(&back_end), 1);
     // Nor does it count as a failure of the member.
     assert_eq!(pool.health().unreachable_since(), None);
@@ -77,12 +77,18 @@
 async fn connections_in_use_are_bounded_and_those_that_wait_are_served() {
     let (_world, back_end, pool) = pool(Duration::ZERO);
     pool.set_limit(2);
-    let claim = Claim::own();
-    let first = pool.acquire(&claim, soon(50)).await.expect("free");
-    let second = pool.acquire(&claim, soon(50)).await.expect("free");
-    let third = pool.acquire(&claim, soon(50)).await;
+    let acquire_request = AcquireRequest::internal();
+    let first = pool
+        .acquire(&acquire_request, soon(50))
+        .await
+        .expect("free");
+    let second = pool
+        .acquire(&acquire_request, soon(50))
+        .await
+        .expect("free");
+    let third = pool.acquire(&acquire_request, soon(50)).await;
     assert_eq!(third.err(), Some(AcquireError::Exhausted));
-    let waiting = pool.acquire(&claim, soon(500));
+    let waiting = pool.acquire(&acquire_request, soon(500));
     let giving_back = async {
         sleep(Duration::from_millis(100)).await;
         drop(first);
@@ -96,23 +102,33 @@
 #[tokio::test(start_paused = true)]
 async fn a_connection_inside_a_transaction_is_closed_when_it_is_dropped() {
     let (_world, back_end, pool) = pool(Duration::ZERO);
-    let claim = Claim::own();
-    let mut connection = pool.acquire(&claim, soon(50)).await.expect("free");
+    let acquire_request = AcquireRequest::internal();
+    let mut connection = pool
+        .acquire(&acquire_request, soon(50))
+        .await
+        .expect("free");
     let begin = Command::Begin {
         read_only: false,
         after: None,
     };
     connection.run(&begin).await.expect("begun");
     drop(connection);
-    drop(pool.acquire(&claim, soon(50)).await.expect("free"));
+    drop(
+        pool.acquire(&acquire_request, soon(50))
+            .await
+            .expect("free"),
+    );
     assert_eq!(opened(&back_end), 2);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_rolled_back_connection_is_used_again() {
     let (_world, back_end, pool) = pool(Duration::ZERO);
-    let claim = Claim::own();
-    let mut connection = pool.acquire(&claim, soon(50)).await.expect("free");
+    let acquire_request = AcquireRequest::internal();
+    let mut connection = pool
+        .acquire(&acquire_request, soon(50))
+        .await
+        .expect("free");
     let begin = Command::Begin {
         read_only: false,
         after: None,
@@ -120,22 +136,38 @@
     connection.run(&begin).await.expect("begun");
     connection.roll_back();
     sleep(Duration::from_millis(50)).await;
-    drop(pool.acquire(&claim, soon(50)).await.expect("free"));
+    drop(
+        pool.acquire(&acquire_request, soon(50))
+            .await
+            .expect("free"),
+    );
     assert_eq!(opened(&back_end), 1);
 }
 
 #[tokio::test(start_paused = true)]
 async fn connections_end_that_were_not_used_for_long() {
     let (_world, back_end, pool) = pool(Duration::ZERO);
-    let claim = Claim::own();
-    drop(pool.acquire(&claim, soon(50)).await.expect("free"));
+    let acquire_request = AcquireRequest::internal();
+    drop(
+        pool.acquire(&acquire_request, soon(50))
+            .await
+            .expect("free"),
+    );
     sleep(Duration::from_secs(1)).await;
     pool.close_unused();
-    drop(pool.acquire(&claim, soon(50)).await.expect("free"));
+    drop(
+        pool.acquire(&acquire_request, soon(50))
+            .await
+            .expect("free"),
+    );
     assert_eq!(opened(&back_end), 1);
     sleep(Duration::from_secs(3)).await;
     pool.close_unused();
-    drop(pool.acquire(&claim, soon(50)).await.expect("free"));
+    drop(
+        pool.acquire(&acquire_request, soon(50))
+            .await
+            .expect("free"),
+    );
     assert_eq!(opened(&back_end), 2);
 }
 
@@ -143,9 +175,9 @@
 async fn a_member_that_is_gone_is_told_at_once_after_the_first_try() {
     let (world, back_end, pool) = pool(Duration::ZERO);
     world.crash("a");
-    let claim = Claim::own();
+    let acquire_request = AcquireRequest::internal();
     for _ in 0..5 {
-        let refused = pool.acquire(&claim, soon(50)).await;
+        let refused = pool.acquire(&acquire_request, soon(50)).await;
         assert!(matches!(refused, Err(AcquireError::Unreachable(_))));
     }
     assert_eq!(opened(&back_end), 1);
@@ -172,17 +204,23 @@
 async fn a_connection_that_comes_back_goes_to_the_highest_rank() {
     let (_world, _back_end, pool) = pool(Duration::ZERO);
     pool.set_limit(1);
-    let held = pool.acquire(&Claim::own(), soon(50)).await.expect("free");
+    let held = pool
+        .acquire(&AcquireRequest::internal(), soon(50))
+        .await
+        .expect("free");
     let (sender, mut served) = tokio::sync::mpsc::unbounded_channel();
     for (database, rank) in [("low", 2), ("low", 2), ("high", 1), ("also low", 2)] {
-        let claim = Claim {
+        let acquire_request = AcquireRequest {
             database: database.into(),
             rank,
-            ..Claim::own()
+            ..AcquireRequest::internal()
         };
         let (pool, sender) = (Arc::clone(&pool), sender.clone());
         tokio::spawn(async move {
-            let connection = pool.acquire(&claim, soon(500)).await.expect("served");
+            let connection = pool
+                .acquire(&acquire_request, soon(500))
+                .await
+                .expect("served");
             let _ = sender.send(database);
             sleep(Duration::from_millis(10)).await;
             drop(connection);
@@ -205,18 +243,22 @@
     let (world, _back_end, pool) = pool(Duration::ZERO);
     pool.set_limit(10);
     world.change("a", |server| server.accepts = Some(3));
-    let claim = |tenant: &str| Claim {
+    let acquire_request = |tenant: &str| AcquireRequest {
         tenant: Some(tenant.into()),
-        ..Claim::own()
+        ..AcquireRequest::internal()
     };
     let mut held = Vec::new();
     for _ in 0..3 {
-        held.push(pool.acquire(&claim("one"), soon(50)).await.expect("room"));
+        held.push(
+            pool.acquire(&acquire_request("one"), soon(50))
+                .await
+                .expect("room"),
+        );
     }
     held.clear();
-    let refused = pool.acquire(&claim("two"), soon(50)).await;
+    let refused = pool.acquire(&acquire_request("two"), soon(50)).await;
     assert_eq!(refused.err(), Some(AcquireError::Exhausted));
-    let connection = pool.acquire(&claim("two"), soon(50)).await;
+    let connection = pool.acquire(&acquire_request("two"), soon(50)).await;
     assert!(connection.is_ok(), "{connection:?}");
     assert_eq!(world.open_connections("a"), 3);
 }
