--- a/crates/engine/src/leadership/survey.rs
+++ b/crates/engine/src/leadership/survey.rs
@@ -3,7 +3,7 @@
 use crate::directory::{Member, MemberState, Role};
 use crate::engine::Engine;
 use crate::names::GroupName;
-use crate::pool::{AcquireError, OrderError};
+use crate::pool::{AcquireError, ControlError};
 use crate::ports::{ConnectError, Control, LinkError, MemberReport};
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
@@ -78,9 +78,9 @@
         return Response::Ended;
     }
     let pool = engine.pool(member);
-    match timeout(ORDER_TIMEOUT, pool.order(control)).await {
+    match timeout(ORDER_TIMEOUT, pool.control(control)).await {
         Ok(Ok(report)) => {
-            pool.note(|health| health.heard(Instant::now()));
+            pool.note(|health| health.record_contact(Instant::now()));
             Response::Report(report)
         }
         Ok(Err(error)) => failure(&error),
@@ -160,17 +160,17 @@
     surveyed
 }
 
-fn failure(error: &OrderError) -> Response {
+fn failure(error: &ControlError) -> Response {
     let reason = error.to_string();
     match error {
-        OrderError::Connect(ConnectError::Refused(_) | ConnectError::WrongMember) => {
+        ControlError::Connect(ConnectError::Refused(_) | ConnectError::WrongMember) => {
             Response::Down(reason)
         }
-        OrderError::Connect(ConnectError::TooManyConnections | ConnectError::Busy)
-        | OrderError::Acquire(
+        ControlError::Connect(ConnectError::TooManyConnections | ConnectError::Busy)
+        | ControlError::Acquire(
             AcquireError::Exhausted | AcquireError::Shed(_) | AcquireError::SlowStart(_),
         )
-        | OrderError::Link(LinkError::Refused(_)) => Response::Declined(reason),
+        | ControlError::Link(LinkError::Refused(_)) => Response::Declined(reason),
         _ => Response::Silent(reason),
     }
 }
--- a/crates/engine/src/leadership/suspicion.rs
+++ b/crates/engine/src/leadership/suspicion.rs
@@ -83,7 +83,8 @@
     let lasts = |since: Option<Instant>, limit| since.is_some_and(|at| now >= at + limit);
     let health = engine.used_pool(&leader.id).map(|pool| pool.health());
     if let Some(health) = health
-        && (lasts(health.unreachable_since(), UNREACHABLE) || lasts(health.silent_since(), SILENCE))
+        && (lasts(health.unreachable_since(), UNREACHABLE)
+            || lasts(health.unanswered_since(), SILENCE))
     {
         return Some(Suspicion::Unreachable);
     }
@@ -152,7 +153,7 @@
         }
     }
     // One that is slow to answer questions may still answer statements.
-    let heard = engine.pool(leader).health().heard_at();
+    let heard = engine.pool(leader).health().last_contact();
     let lives = heard.is_some_and(|at| at >= began);
     (!lives).then_some(Suspicion::Unreachable)
 }
--- a/crates/engine/src/pool/connection.rs
+++ b/crates/engine/src/pool/connection.rs
@@ -178,7 +178,7 @@
         self.pool.gate().count_sent();
         let sent = Instant::now();
         self.clean = false;
-        self.pool.note(|health| health.sent(sent));
+        self.pool.note(|health| health.record_sent(sent));
         let result = self.established()?.connection.run(command).await;
         let now = Instant::now();
         match &result {
@@ -192,7 +192,7 @@
             }
             // The next statement may go through another home.
             Err(_) if self.pool.is_remote() => {}
-            Err(_) => self.pool.note(|health| health.unreachable(now)),
+            Err(_) => self.pool.note(|health| health.record_unreachable(now)),
         }
         result
     }
@@ -308,14 +308,14 @@
 
     fn note_answer(&self, answer: &Answer, latency: Duration, now: Instant) {
         self.pool.note(|health| {
-            health.answered(latency, now);
+            health.record_answer(latency, now);
             if let Some(position) = answer.position {
-                health.applied(position);
+                health.record_applied(position);
             }
             match answer.outcome.as_ref().err().map(|refusal| refusal.kind) {
-                Some(RefusalKind::Busy | RefusalKind::Shed(_)) => health.busy(now),
-                Some(RefusalKind::SlowStart(wait)) => health.paced(now + wait),
-                Some(RefusalKind::Unreachable) => health.unreachable(now),
+                Some(RefusalKind::Busy | RefusalKind::Shed(_)) => health.record_busy(now),
+                Some(RefusalKind::SlowStart(wait)) => health.record_slow_start(now + wait),
+                Some(RefusalKind::Unreachable) => health.record_unreachable(now),
                 _ => {}
             }
         });
--- a/crates/engine/src/pool/error.rs
+++ b/crates/engine/src/pool/error.rs
@@ -44,7 +44,7 @@
 quick_error! {
     /// An order was not carried out, as far as is known.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum OrderError {
+    pub enum ControlError {
         /// No connection could be opened.
         Connect(error: ConnectError) {
             display("{error}")
--- a/crates/engine/src/pool/member.rs
+++ b/crates/engine/src/pool/member.rs
@@ -3,7 +3,7 @@
 use super::acquire_request::{AcquireRequest, QUEUE_TIME};
 use super::concurrency::Concurrency;
 use super::connection::{Established, PooledConnection, SessionValues};
-use super::error::{AcquireError, OrderError};
+use super::error::{AcquireError, ControlError};
 use super::health::MemberHealth;
 use super::queue::QueueDelay;
 use super::set::{ConnectionSet, Fit};
@@ -25,7 +25,7 @@
 /// Statements of one process that go through a member's homes at a time: these bound them.
 const REMOTE_LIMIT: usize = 256;
 /// Wait for a connection in use where a member accepts no other one.
-const ORDER_WAIT: Duration = Duration::from_millis(200);
+const CONTROL_TIMEOUT: Duration = Duration::from_millis(200);
 /// Longest time in which a connection opens.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 /// Pause before another connection is opened after the member's queue was full.
@@ -328,8 +328,8 @@
     ///
     /// # Errors
     ///
-    /// [`OrderError`] tells whether the member runs.
-    pub async fn order(self: &Arc<Self>, control: Control) -> Result<MemberReport, OrderError> {
+    /// [`ControlError`] tells whether the member runs.
+    pub async fn control(self: &Arc<Self>, control: Control) -> Result<MemberReport, ControlError> {
         if let Some(mut idle) = self.try_idle().await
             && let Ok(report) = idle.control(control).await
         {
@@ -338,13 +338,13 @@
         match self.open_separately(None).await {
             Ok(mut connection) => Ok(connection.control(control).await?),
             Err(ConnectError::TooManyConnections) => {
-                let until = Instant::now() + ORDER_WAIT;
+                let until = Instant::now() + CONTROL_TIMEOUT;
                 let acquire_request = AcquireRequest::internal();
                 let permit = self.admit(&acquire_request, until).await?;
                 let mut connection = self.connection(&acquire_request, permit, until).await?;
                 Ok(connection.control(control).await?)
             }
-            Err(error) => Err(OrderError::Connect(error)),
+            Err(error) => Err(ControlError::Connect(error)),
         }
     }
 
@@ -354,7 +354,7 @@
             queue_length: 0,
             ..acquire_request.limits()
         };
-        let until = Instant::now() + ORDER_WAIT;
+        let until = Instant::now() + CONTROL_TIMEOUT;
         let admission = self
             .connections
             .admit(acquire_request.database, at_once, until);
@@ -377,7 +377,7 @@
     /// Closes the connections that are not in use: the member does not answer on them.
     pub fn lose_idle(&self) {
         self.close_resting();
-        self.note(|health| health.unreachable(Instant::now()));
+        self.note(|health| health.record_unreachable(Instant::now()));
     }
 
     /// Notes that what was sent at `sent` was not answered in time. Where the member has said
@@ -385,8 +385,8 @@
     /// together, and each would cost another request its time.
     pub fn note_unanswered(&self, sent: Instant) {
         let now = Instant::now();
-        self.note(|health| health.unanswered(now.duration_since(sent), now));
-        let heard = self.health().heard_at();
+        self.note(|health| health.record_timeout(now.duration_since(sent), now));
+        let heard = self.health().last_contact();
         if heard.is_none_or(|heard| heard <= sent) {
             self.close_resting();
         }
@@ -486,17 +486,17 @@
         let open = self.open_connections();
         let mut state = self.lock();
         match error {
-            None => state.health.heard(now),
+            None => state.health.record_contact(now),
             Some(ConnectError::TooManyConnections) => {
-                state.health.heard(now);
+                state.health.record_contact(now);
                 state.crowded = Some((open.saturating_sub(1), now + TOO_MANY_PAUSE));
             }
             Some(ConnectError::Busy) => {
-                state.health.heard(now);
-                state.health.busy(now);
+                state.health.record_contact(now);
+                state.health.record_busy(now);
                 state.no_opening_until = Some(now + BUSY_PAUSE);
             }
-            Some(_) => state.health.unreachable(now),
+            Some(_) => state.health.record_unreachable(now),
         }
     }
 
--- a/crates/engine/src/pool/mod.rs
+++ b/crates/engine/src/pool/mod.rs
@@ -16,7 +16,7 @@
 pub use acquire_request::AcquireRequest;
 pub use concurrency::Concurrency;
 pub use connection::{PooledConnection, RunError, SessionStatement, SessionValues};
-pub use error::{AcquireError, OrderError};
+pub use error::{AcquireError, ControlError};
 pub use health::MemberHealth;
 pub use member::MemberPool;
 pub use queue::QueueDelay;
--- a/crates/engine/src/session/read.rs
+++ b/crates/engine/src/session/read.rs
@@ -346,7 +346,7 @@
 /// Notes that a member lacked the position asked for.
 pub(super) fn note_refusal(pool: &MemberPool, refusal: &Refusal, after: Option<LogPosition>) {
     if let (RefusalKind::Lagging, Some(position)) = (refusal.kind, after) {
-        pool.note(|health| health.lagging(position, Instant::now()));
+        pool.note(|health| health.record_lag(position, Instant::now()));
     }
 }
 
--- a/crates/engine/tests/server_lives.rs
+++ b/crates/engine/tests/server_lives.rs
@@ -160,7 +160,7 @@
     let pool = engine.pool(&life);
     fleet.world.start_anew("b");
     until(|| engine.directory().has_ended(&life)).await;
-    let order = pool.order(stilequay_engine::ports::Control::Status).await;
+    let order = pool.control(stilequay_engine::ports::Control::Status).await;
     assert!(order.is_err(), "{order:?}");
     assert!(matches!(
         engine.directory().member("b@1").map(|member| member.state),
--- a/crates/engine/tests/stand_in.rs
+++ b/crates/engine/tests/stand_in.rs
@@ -14,7 +14,7 @@
     assert!(client.write("x 1").await.outcome.is_ok());
     let before = fleet.world.server("a");
     let pool = fleet.nodes[0].engine.pool_of("a").expect("known");
-    let demoted = pool.order(Control::Demote(before.term + 1)).await;
+    let demoted = pool.control(Control::Demote(before.term + 1)).await;
     assert_eq!(demoted.expect("an answer").received, before.position());
     let shown = fleet.world.server("a").applied(tokio::time::Instant::now());
     assert_eq!(shown, before.log.len());
