--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -552,7 +552,7 @@
                 let direct = Arc::clone(&self.back_end);
                 let back_end = RemoteBackEnd::new(homes, direct, residency.clone());
                 let pool = MemberPool::remote(Arc::clone(member), Arc::new(back_end));
-                Arc::new(pool.behind(self.gate(member, Sender::Session)))
+                Arc::new(pool.with_gate(self.gate(member, Sender::Session)))
             });
         allowed.with(Arc::clone(pool))
     }
@@ -579,10 +579,10 @@
             return Arc::clone(pool);
         }
         let pool = MemberPool::new(Arc::clone(member), Arc::clone(&self.back_end));
-        let pool = Arc::new(pool.behind(self.gate(member, Sender::Home)));
+        let pool = Arc::new(pool.with_gate(self.gate(member, Sender::Home)));
         pool.set_limit(self.connection_share(member));
         if self.directory().has_ended(member) {
-            pool.end();
+            pool.retire();
         }
         pools.insert(member.id.clone(), Arc::clone(&pool));
         pool
@@ -610,7 +610,7 @@
         let mut pools = self.pools();
         pools.extend(lock(&self.remote_pools).values().cloned());
         let there = pools.iter().filter(|pool| pool.member().zone == *zone);
-        there.for_each(|pool| pool.close_resting());
+        there.for_each(|pool| pool.close_idle_connections());
     }
 
     /// How far the process is from its end.
@@ -638,10 +638,10 @@
     pub fn close_unused_connections(&self) {
         lock(&self.pools)
             .values()
-            .for_each(|pool| pool.close_unused());
+            .for_each(|pool| pool.close_expired());
         lock(&self.remote_pools)
             .values()
-            .for_each(|pool| pool.close_unused());
+            .for_each(|pool| pool.close_expired());
     }
 
     fn close_pools_except(&self, directory: &Directory) {
@@ -656,7 +656,7 @@
                 pool.close();
                 telemetry::forget_member(id);
             } else if directory.has_ended(pool.member()) {
-                pool.end();
+                pool.retire();
             }
             known
         });
--- a/crates/engine/src/home/unit.rs
+++ b/crates/engine/src/home/unit.rs
@@ -103,7 +103,7 @@
         tokio::select! {
             outcome = &mut running => Some(outcome),
             () = sleep(ABANDONED_WAIT) => {
-                pool.note_unanswered(sent);
+                pool.record_timeout(sent);
                 None
             }
         }
@@ -114,7 +114,7 @@
             return self.held_back(reason);
         }
         let values = Arc::new(request.values);
-        if let Err(error) = self.connection.put_values(&values).await {
+        if let Err(error) = self.connection.apply_values(&values).await {
             return self.failed_before(error.to_string());
         }
         let leader = self.group.as_leader(&self.pool.member().id);
--- a/crates/engine/src/leadership/survey.rs
+++ b/crates/engine/src/leadership/survey.rs
@@ -80,7 +80,7 @@
     let pool = engine.pool(member);
     match timeout(ORDER_TIMEOUT, pool.control(control)).await {
         Ok(Ok(report)) => {
-            pool.note(|health| health.record_contact(Instant::now()));
+            pool.update_health(|health| health.record_contact(Instant::now()));
             Response::Report(report)
         }
         Ok(Err(error)) => failure(&error),
--- a/crates/engine/src/leadership/watcher.rs
+++ b/crates/engine/src/leadership/watcher.rs
@@ -167,7 +167,7 @@
         if suspicion == Suspicion::Unreachable
             && let Some(pool) = self.engine.pool_of(&leader)
         {
-            pool.lose_idle();
+            pool.mark_unreachable();
         }
         self.engine.events().write(&Event::LeaderSuspected {
             group: group.name().clone(),
--- a/crates/engine/src/pool/connection.rs
+++ b/crates/engine/src/pool/connection.rs
@@ -100,7 +100,7 @@
 pub struct PooledConnection {
     pool: Arc<MemberPool>,
     established: Option<Established>,
-    clean: bool,
+    is_reusable: bool,
     _permit: Permit<DatabaseName>,
 }
 
@@ -113,7 +113,7 @@
         Self {
             pool,
             established: Some(established),
-            clean: true,
+            is_reusable: true,
             _permit: permit,
         }
     }
@@ -143,7 +143,7 @@
     /// # Errors
     ///
     /// [`LinkError`] where the member did not do so: nothing of a session may run here.
-    pub async fn put_values(&mut self, values: &SessionValues) -> Result<(), LinkError> {
+    pub async fn apply_values(&mut self, values: &SessionValues) -> Result<(), LinkError> {
         let established = self.established()?;
         if established.has_values(values) {
             return Ok(());
@@ -177,22 +177,24 @@
         self.check_sending()?;
         self.pool.gate().count_sent();
         let sent = Instant::now();
-        self.clean = false;
-        self.pool.note(|health| health.record_sent(sent));
+        self.is_reusable = false;
+        self.pool.update_health(|health| health.record_sent(sent));
         let result = self.established()?.connection.run(command).await;
         let now = Instant::now();
         match &result {
             Ok(answer) => {
-                self.clean = answer.state == TransactionState::Idle;
+                self.is_reusable = answer.state == TransactionState::Idle;
                 let latency = now.duration_since(sent);
-                self.note_answer(answer, latency, now);
+                self.record_answer(answer, latency, now);
                 if command.is_statement() && answer.outcome.is_ok() {
-                    self.pool.note_statement(latency);
+                    self.pool.record_statement(latency);
                 }
             }
             // The next statement may go through another home.
             Err(_) if self.pool.is_remote() => {}
-            Err(_) => self.pool.note(|health| health.record_unreachable(now)),
+            Err(_) => self
+                .pool
+                .update_health(|health| health.record_unreachable(now)),
         }
         result
     }
@@ -208,9 +210,9 @@
     ///
     /// [`LinkError`] where there was no report: the connection is not used again.
     pub async fn control(&mut self, control: Control) -> Result<MemberReport, LinkError> {
-        self.clean = false;
+        self.is_reusable = false;
         let report = self.established()?.connection.control(control).await?;
-        self.clean = true;
+        self.is_reusable = true;
         Ok(report)
     }
 
@@ -276,7 +278,7 @@
 
     /// The name of `prepared` on this connection.
     async fn prepare(&mut self, prepared: &PreparedStatement) -> Result<Bytes, LinkError> {
-        let name = connection_name(prepared);
+        let name = prepared_name(prepared);
         let known = &mut self.established()?.prepared;
         if known.contains(&name) {
             return Ok(name);
@@ -299,15 +301,15 @@
         match answer.outcome {
             Ok(_) => Ok(()),
             Err(refusal) => {
-                self.clean = false;
+                self.is_reusable = false;
                 let text = String::from_utf8_lossy(&refusal.code).into_owned();
                 Err(LinkError::Refused(text))
             }
         }
     }
 
-    fn note_answer(&self, answer: &Answer, latency: Duration, now: Instant) {
-        self.pool.note(|health| {
+    fn record_answer(&self, answer: &Answer, latency: Duration, now: Instant) {
+        self.pool.update_health(|health| {
             health.record_answer(latency, now);
             if let Some(position) = answer.position {
                 health.record_applied(position);
@@ -329,7 +331,7 @@
 
 impl Drop for PooledConnection {
     fn drop(&mut self) {
-        if let (true, Some(established)) = (self.clean, self.established.take()) {
+        if let (true, Some(established)) = (self.is_reusable, self.established.take()) {
             self.pool.give_back(established);
         }
     }
@@ -341,7 +343,7 @@
 
 /// A name made of the statement itself: sessions that prepared the same share it, and no
 /// two statements share one.
-fn connection_name(prepared: &PreparedStatement) -> Bytes {
+fn prepared_name(prepared: &PreparedStatement) -> Bytes {
     let mut content = Vec::with_capacity(prepared.shape.len() + 1);
     content.push(prepared.access as u8);
     content.extend_from_slice(&prepared.shape);
--- a/crates/engine/src/pool/member.rs
+++ b/crates/engine/src/pool/member.rs
@@ -1,7 +1,7 @@
 //! The connections to one member.
 
 use super::acquire_request::{AcquireRequest, QUEUE_TIME};
-use super::concurrency::Concurrency;
+use super::concurrency::ConcurrencyLimit;
 use super::connection::{Established, PooledConnection, SessionValues};
 use super::error::{AcquireError, ControlError};
 use super::health::MemberHealth;
@@ -21,7 +21,7 @@
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 
 /// Connections to one member that are in use at a time, before the fleet is known.
-const FIRST_LIMIT: usize = 3;
+const INITIAL_LIMIT: usize = 3;
 /// Statements of one process that go through a member's homes at a time: these bound them.
 const REMOTE_LIMIT: usize = 256;
 /// Wait for a connection in use where a member accepts no other one.
@@ -33,21 +33,21 @@
 /// How long a process holds no more connections than it does, after the member had too many:
 /// one is closed for each that is opened. After a loss of power a member holds those of the
 /// lives before for some seconds.
-const TOO_MANY_PAUSE: Duration = Duration::from_millis(250);
+const CONNECTION_CAP_TIME: Duration = Duration::from_millis(250);
 /// How long an unused connection is kept.
-const IDLE_LIMIT: Duration = Duration::from_millis(2_000);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Interval in which a request that waits looks whether the queue stands by now.
-const LOOK_INTERVAL: Duration = Duration::from_millis(30);
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(30);
 /// Requests of all databases that wait for a connection, at the most.
 const QUEUE_LENGTH: usize = 1_024;
 
 #[derive(Debug)]
 struct PoolState {
-    no_opening_until: Option<Instant>,
+    open_after: Option<Instant>,
     /// Connections that the member accepts of this process, until a moment.
-    crowded: Option<(usize, Instant)>,
+    connection_cap: Option<(usize, Instant)>,
     queue: QueueDelay,
-    concurrency: Concurrency,
+    concurrency: ConcurrencyLimit,
     health: MemberHealth,
 }
 
@@ -55,8 +55,8 @@
     /// Connections that may stand.
     fn share(&self, now: Instant) -> usize {
         let ceiling = self.concurrency.ceiling();
-        let crowded = self.crowded.filter(|(_, until)| now < *until);
-        crowded.map_or(ceiling, |(accepted, _)| accepted.min(ceiling))
+        let connection_cap = self.connection_cap.filter(|(_, until)| now < *until);
+        connection_cap.map_or(ceiling, |(accepted, _)| accepted.min(ceiling))
     }
 }
 
@@ -68,7 +68,7 @@
     remote: bool,
     gate: Gate,
     /// The server has started again: a connection would lead to its next life.
-    ended: AtomicBool,
+    retired: AtomicBool,
     connections: ConnectionSet<Established, DatabaseName>,
     state: Mutex<PoolState>,
 }
@@ -76,7 +76,7 @@
 impl MemberPool {
     /// A pool without connections.
     pub fn new(member: Arc<Member>, back_end: Arc<dyn BackEnd>) -> Self {
-        Self::with_limit(member, back_end, FIRST_LIMIT, false)
+        Self::with_limit(member, back_end, INITIAL_LIMIT, false)
     }
 
     /// A pool of connections by way of the member's homes, which bound their number.
@@ -95,7 +95,7 @@
             back_end,
             remote,
             gate: Gate::default(),
-            ended: AtomicBool::new(false),
+            retired: AtomicBool::new(false),
             connections: ConnectionSet::new(LimiterSettings {
                 slots: limit,
                 queue_length: QUEUE_LENGTH,
@@ -103,17 +103,17 @@
                 tenant: TenantLimits::default(),
             }),
             state: Mutex::new(PoolState {
-                no_opening_until: None,
-                crowded: None,
+                open_after: None,
+                connection_cap: None,
                 queue: QueueDelay::default(),
-                concurrency: Concurrency::new(limit, Instant::now()),
+                concurrency: ConcurrencyLimit::new(limit, Instant::now()),
                 health: MemberHealth::new(Instant::now()),
             }),
         }
     }
 
     /// The same, where nothing is sent that `gate` holds back.
-    pub fn behind(self, gate: Gate) -> Self {
+    pub fn with_gate(self, gate: Gate) -> Self {
         Self { gate, ..self }
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Notes that a statement was answered after `latency`.
-    pub(super) fn note_statement(&self, latency: Duration) {
+    pub(super) fn record_statement(&self, latency: Duration) {
         metrics::histogram!("stilequay_stage_seconds", "stage" => "member").record(latency);
         if self.remote {
             return;
@@ -173,7 +173,9 @@
         let waiting = self.connections.load().waiting > 0;
         let mut state = self.lock();
         let before = state.concurrency.limit();
-        state.concurrency.answered(latency, waiting, Instant::now());
+        state
+            .concurrency
+            .record_latency(latency, waiting, Instant::now());
         let slots = state.concurrency.limit();
         drop(state);
         if slots != before {
@@ -187,7 +189,7 @@
     }
 
     /// Notes something of the member.
-    pub fn note(&self, change: impl FnOnce(&mut MemberHealth)) {
+    pub fn update_health(&self, change: impl FnOnce(&mut MemberHealth)) {
         change(&mut self.lock().health);
     }
 
@@ -242,7 +244,7 @@
         }
         let now = Instant::now();
         self.check_opening(now)?;
-        self.make_room(now)?;
+        self.evict_excess(now)?;
         let mut opening = self.spawn_open(acquire_request.tenant.clone(), permit);
         match timeout_at(deadline, &mut opening).await {
             Ok(Ok(opened)) => opened,
@@ -265,16 +267,16 @@
             .connections
             .admit(database, acquire_request.limits(), deadline);
         let mut admission = std::pin::pin!(admission);
-        let mut look_at = began + acquire_request.patience;
+        let mut next_check = began + acquire_request.patience;
         let admitted = loop {
             tokio::select! {
                 biased;
                 admitted = &mut admission => break admitted.map_err(|r| rejection(&r)),
-                () = sleep_until(look_at), if look_at < deadline => {
-                    if self.lock().queue.stands(Instant::now()) {
+                () = sleep_until(next_check), if next_check < deadline => {
+                    if self.lock().queue.is_standing(Instant::now()) {
                         break Err(AcquireError::Shed(self.connections.retry_after()));
                     }
-                    look_at += LOOK_INTERVAL;
+                    next_check += QUEUE_CHECK_INTERVAL;
                 }
             }
         };
@@ -283,8 +285,8 @@
         metrics::histogram!("stilequay_stage_seconds", "stage" => "queue").record(waited);
         let mut state = self.lock();
         match &admitted {
-            Ok(_) => state.queue.admitted(waited, now),
-            Err(_) => state.queue.given_up(now),
+            Ok(_) => state.queue.record_admission(waited, now),
+            Err(_) => state.queue.record_timeout(now),
         }
         admitted
     }
@@ -308,17 +310,17 @@
     /// # Errors
     ///
     /// [`ConnectError`] where it can't be opened in time.
-    async fn open_separately(
+    async fn open_unpooled(
         &self,
         tenant: Option<&TenantName>,
     ) -> Result<Box<dyn BackEndConnection>, ConnectError> {
-        if self.ended.load(Ordering::Relaxed) {
+        if self.retired.load(Ordering::Relaxed) {
             return Err(ConnectError::WrongMember);
         }
         let connecting = self.back_end.connect(&self.member, tenant);
         let connected = timeout(CONNECT_TIMEOUT, connecting).await;
         let result = connected.unwrap_or(Err(ConnectError::TimedOut));
-        self.note_connect(&result.as_ref().err().cloned());
+        self.record_connect(&result.as_ref().err().cloned());
         result
     }
 
@@ -335,7 +337,7 @@
         {
             return Ok(report);
         }
-        match self.open_separately(None).await {
+        match self.open_unpooled(None).await {
             Ok(mut connection) => Ok(connection.control(control).await?),
             Err(ConnectError::TooManyConnections) => {
                 let until = Instant::now() + CONTROL_TIMEOUT;
@@ -369,37 +371,37 @@
     }
 
     /// Takes it that this life of the member's server has ended: no connection is opened any more.
-    pub fn end(&self) {
-        self.ended.store(true, Ordering::Relaxed);
+    pub fn retire(&self) {
+        self.retired.store(true, Ordering::Relaxed);
         self.close();
     }
 
     /// Closes the connections that are not in use: the member does not answer on them.
-    pub fn lose_idle(&self) {
-        self.close_resting();
-        self.note(|health| health.record_unreachable(Instant::now()));
+    pub fn mark_unreachable(&self) {
+        self.close_idle_connections();
+        self.update_health(|health| health.record_unreachable(Instant::now()));
     }
 
     /// Notes that what was sent at `sent` was not answered in time. Where the member has said
     /// nothing at all since, connections that rest are closed: they may have gone silent
     /// together, and each would cost another request its time.
-    pub fn note_unanswered(&self, sent: Instant) {
+    pub fn record_timeout(&self, sent: Instant) {
         let now = Instant::now();
-        self.note(|health| health.record_timeout(now.duration_since(sent), now));
+        self.update_health(|health| health.record_timeout(now.duration_since(sent), now));
         let heard = self.health().last_contact();
         if heard.is_none_or(|heard| heard <= sent) {
-            self.close_resting();
+            self.close_idle_connections();
         }
     }
 
     /// Closes the connections that are not in use: nothing is sent on them any more.
-    pub fn close_resting(&self) {
+    pub fn close_idle_connections(&self) {
         drop(self.connections.take_all(|_| true));
     }
 
     /// Closes connections that were not used for long.
-    pub fn close_unused(&self) {
-        self.connections.close_idle(|idle| idle.age >= IDLE_LIMIT);
+    pub fn close_expired(&self) {
+        self.connections.close_idle(|idle| idle.age >= IDLE_TIMEOUT);
     }
 
     pub(super) fn give_back(&self, established: Established) {
@@ -437,7 +439,7 @@
     /// Closes connections that rest where one more would be over this process's share of
     /// those that the member accepts: they are of other tenants. The one that has rested
     /// longest goes first.
-    fn make_room(&self, now: Instant) -> Result<(), AcquireError> {
+    fn evict_excess(&self, now: Instant) -> Result<(), AcquireError> {
         let share = self.lock().share(now);
         while self.open_connections() > share {
             if !self.connections.close_oldest() {
@@ -454,7 +456,7 @@
     }
 
     async fn open(&self, tenant: Option<TenantName>) -> Result<Established, AcquireError> {
-        let result = self.open_separately(tenant.as_ref()).await;
+        let result = self.open_unpooled(tenant.as_ref()).await;
         metrics::counter!("stilequay_pool_connections_opened_total").increment(1);
         match result {
             Ok(connection) => Ok(Established::new(connection, tenant)),
@@ -475,13 +477,13 @@
 
     fn check_opening(&self, now: Instant) -> Result<(), AcquireError> {
         let state = self.lock();
-        if state.no_opening_until.is_some_and(|until| now < until) {
+        if state.open_after.is_some_and(|until| now < until) {
             return Err(AcquireError::Exhausted);
         }
         Ok(())
     }
 
-    fn note_connect(&self, error: &Option<ConnectError>) {
+    fn record_connect(&self, error: &Option<ConnectError>) {
         let now = Instant::now();
         let open = self.open_connections();
         let mut state = self.lock();
@@ -489,12 +491,12 @@
             None => state.health.record_contact(now),
             Some(ConnectError::TooManyConnections) => {
                 state.health.record_contact(now);
-                state.crowded = Some((open.saturating_sub(1), now + TOO_MANY_PAUSE));
+                state.connection_cap = Some((open.saturating_sub(1), now + CONNECTION_CAP_TIME));
             }
             Some(ConnectError::Busy) => {
                 state.health.record_contact(now);
                 state.health.record_busy(now);
-                state.no_opening_until = Some(now + BUSY_PAUSE);
+                state.open_after = Some(now + BUSY_PAUSE);
             }
             Some(_) => state.health.record_unreachable(now),
         }
--- a/crates/engine/src/pool/mod.rs
+++ b/crates/engine/src/pool/mod.rs
@@ -14,7 +14,7 @@
 mod set;
 
 pub use acquire_request::AcquireRequest;
-pub use concurrency::Concurrency;
+pub use concurrency::ConcurrencyLimit;
 pub use connection::{PooledConnection, RunError, SessionStatement, SessionValues};
 pub use error::{AcquireError, ControlError};
 pub use health::MemberHealth;
--- a/crates/engine/src/pool/queue.rs
+++ b/crates/engine/src/pool/queue.rs
@@ -9,9 +9,9 @@
 use tokio::time::Instant;
 
 /// Wait that is no sign of a queue.
-const QUICK: Duration = Duration::from_millis(20);
+const TARGET_DELAY: Duration = Duration::from_millis(20);
 /// Time without a quick admission after which the queue stands.
-const STANDS_AFTER: Duration = Duration::from_millis(150);
+const STANDING_INTERVAL: Duration = Duration::from_millis(150);
 
 /// What the waits of admitted requests have shown.
 #[derive(Debug, Clone, Default)]
@@ -21,22 +21,22 @@
 
 impl QueueDelay {
     /// A request was admitted after `wait`.
-    pub fn admitted(&mut self, wait: Duration, now: Instant) {
-        if wait < QUICK {
+    pub fn record_admission(&mut self, wait: Duration, now: Instant) {
+        if wait < TARGET_DELAY {
             self.slow_since = None;
         } else {
-            self.given_up(now);
+            self.record_timeout(now);
         }
     }
 
     /// A request was not admitted in time.
-    pub fn given_up(&mut self, now: Instant) {
+    pub fn record_timeout(&mut self, now: Instant) {
         self.slow_since.get_or_insert(now);
     }
 
     /// Whether the queue stands.
-    pub fn stands(&self, now: Instant) -> bool {
+    pub fn is_standing(&self, now: Instant) -> bool {
         self.slow_since
-            .is_some_and(|since| now.duration_since(since) >= STANDS_AFTER)
+            .is_some_and(|since| now.duration_since(since) >= STANDING_INTERVAL)
     }
 }
--- a/crates/engine/src/pool/set.rs
+++ b/crates/engine/src/pool/set.rs
@@ -42,7 +42,7 @@
 }
 
 #[derive(Debug)]
-struct Resting<C> {
+struct IdleEntry<C> {
     connection: C,
     since: Instant,
 }
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 struct Idle<C> {
     /// Oldest first.
-    resting: Vec<Resting<C>>,
+    entries: Vec<IdleEntry<C>>,
     closed: bool,
 }
 
@@ -68,7 +68,7 @@
         Self {
             slots: Limiter::new(settings),
             idle: Mutex::new(Idle {
-                resting: Vec::new(),
+                entries: Vec::new(),
                 closed: false,
             }),
             returned: Notify::new(),
@@ -118,13 +118,13 @@
     pub fn take_idle(&self, fit: impl Fn(&C) -> Fit) -> Option<C> {
         let mut idle = self.lock();
         loop {
-            let ranked = idle.resting.iter().enumerate();
-            let ranked = ranked.map(|(index, resting)| (fit(&resting.connection), index));
+            let ranked = idle.entries.iter().enumerate();
+            let ranked = ranked.map(|(index, entry)| (fit(&entry.connection), index));
             let (best, index) = ranked.max()?;
             if best == Fit::None {
                 return None;
             }
-            let mut taken = idle.resting.remove(index).connection;
+            let mut taken = idle.entries.remove(index).connection;
             if taken.is_open() {
                 return Some(taken);
             }
@@ -135,9 +135,9 @@
     pub fn take_all(&self, which: impl Fn(&C) -> bool) -> Vec<C> {
         let mut idle = self.lock();
         let taken = idle
-            .resting
-            .extract_if(.., |resting| which(&resting.connection));
-        taken.map(|resting| resting.connection).collect()
+            .entries
+            .extract_if(.., |entry| which(&entry.connection));
+        taken.map(|entry| entry.connection).collect()
     }
 
     /// Lets a connection rest that nothing is unfinished on.
@@ -147,7 +147,7 @@
             return;
         }
         let since = Instant::now();
-        idle.resting.push(Resting { connection, since });
+        idle.entries.push(IdleEntry { connection, since });
         drop(idle);
         self.returned.notify_one();
     }
@@ -160,32 +160,32 @@
     /// Connections at rest of which `which` is true.
     pub fn count_idle(&self, which: impl Fn(&C) -> bool) -> usize {
         let idle = self.lock();
-        let resting = idle.resting.iter();
-        resting.filter(|resting| which(&resting.connection)).count()
+        let entries = idle.entries.iter();
+        entries.filter(|entry| which(&entry.connection)).count()
     }
 
     /// Closes the connections at rest of which `expired` is true.
     pub fn close_idle(&self, expired: impl Fn(IdleConnection<'_, C>) -> bool) {
         let now = Instant::now();
         let mut idle = self.lock();
-        let mut remaining = idle.resting.len();
-        idle.resting.retain(|resting| {
-            let ends = expired(IdleConnection {
-                connection: &resting.connection,
-                age: now.saturating_duration_since(resting.since),
+        let mut remaining = idle.entries.len();
+        idle.entries.retain(|entry| {
+            let expires = expired(IdleConnection {
+                connection: &entry.connection,
+                age: now.saturating_duration_since(entry.since),
                 remaining,
             });
             remaining -= 1;
-            !ends
+            !expires
         });
     }
 
     /// Closes the connection that has rested longest; returns whether there was one.
     pub fn close_oldest(&self) -> bool {
         let mut idle = self.lock();
-        let any = !idle.resting.is_empty();
+        let any = !idle.entries.is_empty();
         if any {
-            idle.resting.remove(0);
+            idle.entries.remove(0);
         }
         any
     }
@@ -194,7 +194,7 @@
     pub fn close(&self) {
         let mut idle = self.lock();
         idle.closed = true;
-        idle.resting.clear();
+        idle.entries.clear();
     }
 
     fn lock(&self) -> MutexGuard<'_, Idle<C>> {
--- a/crates/engine/src/session/mod.rs
+++ b/crates/engine/src/session/mod.rs
@@ -252,7 +252,7 @@
         let values = Arc::new(values);
         self.end_outside_regions();
         if let Some(transaction) = &mut self.transaction {
-            transaction.put_values(&values).await?;
+            transaction.apply_values(&values).await?;
         }
         self.values = values;
         Ok(Completion::default())
--- a/crates/engine/src/session/read.rs
+++ b/crates/engine/src/session/read.rs
@@ -297,7 +297,7 @@
     let reached = leader.as_ref().and_then(|at| job.group.reached_by(at));
     let sent = Instant::now();
     let running = async {
-        let put = connection.put_values(&job.acquire_request.values).await;
+        let put = connection.apply_values(&job.acquire_request.values).await;
         put.map_err(RunError::BeforeSend)?;
         connection
             .run_statement(&job.id, &job.work, target.after)
@@ -308,7 +308,7 @@
         Ok(Err(RunError::BeforeSend(error))) => return ReadOutcome::NotSent(error.to_string()),
         Ok(Err(error)) => return ReadOutcome::Lost(error.to_string()),
         Err(_) => {
-            pool.note_unanswered(sent);
+            pool.record_timeout(sent);
             return ReadOutcome::Lost("no answer in time".to_owned());
         }
     };
@@ -346,7 +346,7 @@
 /// Notes that a member lacked the position asked for.
 pub(super) fn note_refusal(pool: &MemberPool, refusal: &Refusal, after: Option<LogPosition>) {
     if let (RefusalKind::Lagging, Some(position)) = (refusal.kind, after) {
-        pool.note(|health| health.record_lag(position, Instant::now()));
+        pool.update_health(|health| health.record_lag(position, Instant::now()));
     }
 }
 
--- a/crates/engine/src/session/transaction/mod.rs
+++ b/crates/engine/src/session/transaction/mod.rs
@@ -98,12 +98,12 @@
     }
 
     /// Puts changed session values in place where it is open.
-    pub(super) async fn put_values(&mut self, values: &SessionValues) -> Result<(), Failure> {
+    pub(super) async fn apply_values(&mut self, values: &SessionValues) -> Result<(), Failure> {
         let Stage::Open(open) = &mut self.stage else {
             return Ok(());
         };
         let until = Instant::now() + self.route.timeout;
-        match timeout_at(until, open.connection.put_values(values)).await {
+        match timeout_at(until, open.connection.apply_values(values)).await {
             Ok(Ok(())) => Ok(()),
             _ => {
                 self.stage = Stage::Failed;
--- a/crates/engine/src/session/transaction/opening.rs
+++ b/crates/engine/src/session/transaction/opening.rs
@@ -164,7 +164,7 @@
     let reached = reached.and_then(|leader| transaction.group.reached_by(leader));
     let sent = Instant::now();
     let opening = async {
-        let put = connection.put_values(&acquire_request.values).await;
+        let put = connection.apply_values(&acquire_request.values).await;
         put.map_err(RunError::BeforeSend)?;
         connection.run(&begin).await.map_err(RunError::BeforeSend)
     };
--- a/crates/engine/src/session/write.rs
+++ b/crates/engine/src/session/write.rs
@@ -90,7 +90,7 @@
             }
             Awaited::TimedOut => {
                 trace.attempted(member, "no answer in time");
-                pool.note_unanswered(sent);
+                pool.record_timeout(sent);
                 Err(Unanswered::TimedOut)
             }
             Awaited::Superseded => {
@@ -160,7 +160,7 @@
                 return acquire_failure(&error);
             }
         };
-        if let Err(error) = connection.put_values(&self.values).await {
+        if let Err(error) = connection.apply_values(&self.values).await {
             trace.attempted(&leader.member, error.to_string());
             return Attempt::NotRun(FailureReason::ConnectionLost);
         }
--- a/crates/engine/tests/pool.rs
+++ b/crates/engine/tests/pool.rs
@@ -154,7 +154,7 @@
             .expect("free"),
     );
     sleep(Duration::from_secs(1)).await;
-    pool.close_unused();
+    pool.close_expired();
     drop(
         pool.acquire(&acquire_request, soon(50))
             .await
@@ -162,7 +162,7 @@
     );
     assert_eq!(opened(&back_end), 1);
     sleep(Duration::from_secs(3)).await;
-    pool.close_unused();
+    pool.close_expired();
     drop(
         pool.acquire(&acquire_request, soon(50))
             .await
