--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -19,7 +19,7 @@
 use crate::rate::permit::Refusals;
 use crate::residency::{Allowed, Residency, report_unknown_regions};
 use crate::slow_start::SlowStarts;
-use crate::slow_start::guard::GuardedBackEnd;
+use crate::slow_start::guard::SlowStartBackEnd;
 use crate::telemetry;
 use crate::tenant::TenantPolicy;
 use crate::topology::Topology;
@@ -161,7 +161,7 @@
         let schedule = Schedule::new(settings.evacuation_bound, following.subscribe_proof());
         Arc::new_cyclic(|engine| Self {
             settings,
-            back_end: Arc::new(GuardedBackEnd::new(Weak::clone(engine), back_end)),
+            back_end: Arc::new(SlowStartBackEnd::new(Weak::clone(engine), back_end)),
             peers,
             remote_pools: Mutex::default(),
             homes: Arc::new(homes),
@@ -237,7 +237,7 @@
             let later = current.as_ref().is_none_or(|known| known.version < version);
             if later {
                 // Before anybody learns of it: cold members are counted from then on.
-                self.slow_starts.configured(&configuration);
+                self.slow_starts.apply_configuration(&configuration);
                 *current = Some(Arc::clone(&configuration));
             }
             later
@@ -293,7 +293,7 @@
             if later {
                 changed = current.zones != zones;
                 // First: the zone's members are cold by the moment at which it is open again.
-                self.slow_starts.evacuated(current, &evacuations);
+                self.slow_starts.apply_evacuations(current, &evacuations);
                 self.evacuation_schedule.take(&zones, Instant::now());
                 *current = Arc::new(evacuations);
             }
--- a/crates/engine/src/following/search.rs
+++ b/crates/engine/src/following/search.rs
@@ -239,7 +239,7 @@
     let records_as_of = news.records_complete_after_ms;
     take(engine, news, asked);
     if let Some(at) = records_as_of.and_then(|ms| declared::moment_after(asked, ms)) {
-        engine.slow_starts().prove_records(at);
+        engine.slow_starts().advance_records_as_of(at);
     }
     let dated = age.and_then(|age| Some((age, asked.checked_sub(age)?)));
     let Some((age, at)) = dated else {
--- a/crates/engine/src/leadership/follower.rs
+++ b/crates/engine/src/leadership/follower.rs
@@ -222,7 +222,7 @@
                     }
                     version = Some(changes.version);
                     self.advance(changes.version);
-                    engine.slow_starts().prove_records(begun);
+                    engine.slow_starts().advance_records_as_of(begun);
                     let now = Instant::now();
                     engine
                         .following()
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -174,7 +174,7 @@
 ) -> f64 {
     let health = pool.health();
     let lacks = after.is_some_and(|position| health.is_lagging(position, now));
-    let slow_start_used = slow_start::used(engine, pool, now);
+    let slow_start_used = slow_start::utilization(engine, pool, now);
     let is_used_up = slow_start_used >= 1.0 || health.is_slow_start_exhausted(now);
     let cost = MemberCost {
         slow_start_used,
--- a/crates/engine/src/slow_start/allot.rs
+++ b/crates/engine/src/slow_start/allot.rs
@@ -1,7 +1,7 @@
 //! Writing the allotments of cold members, and telling of this process's shares.
 
 use super::allotment::{Allotment, Allotments, Senders, divide};
-use super::{Cold, cold, settling, share};
+use super::{ColdStart, cold_start, settling_time, share};
 use crate::directory::Member;
 use crate::encoding;
 use crate::engine::Engine;
@@ -72,13 +72,13 @@
     let now = Instant::now();
     let directory = engine.directory();
     let members = directory.members().filter_map(|member| {
-        let cold = cold(engine, member, now)?;
+        let cold = cold_start(engine, member, now)?;
         Some((Arc::clone(member), cold))
     });
-    let members: Vec<(Arc<Member>, Cold)> = members.collect();
+    let members: Vec<(Arc<Member>, ColdStart)> = members.collect();
     lacking.retain(|id, _| members.iter().any(|(member, _)| member.id == *id));
     for (member, cold) in &members {
-        if cold.is_told {
+        if cold.is_reported {
             allot(engine, member, *cold, lacking).await;
         }
         tell(engine, member, *cold, told);
@@ -93,7 +93,7 @@
 async fn allot(
     engine: &Engine,
     member: &Member,
-    cold: Cold,
+    cold: ColdStart,
     lacking: &mut HashMap<MemberId, Instant>,
 ) {
     let rank = rank(engine, member);
@@ -134,21 +134,21 @@
 fn wanted(
     engine: &Engine,
     member: &Member,
-    cold: Cold,
+    cold: ColdStart,
     present: Option<&(Allotment, Instant)>,
 ) -> Option<Allotment> {
-    let shares = divide(cold.most, &senders(engine, member));
+    let shares = divide(cold.max_statements, &senders(engine, member));
     let Some((present, since)) = present else {
         return Some(Allotment {
-            most: cold.most,
+            most: cold.max_statements,
             shares,
             before: None,
         });
     };
-    let same = present.most == cold.most && present.shares == shares;
-    let settled = since.elapsed() >= settling(engine);
+    let same = present.most == cold.max_statements && present.shares == shares;
+    let settled = since.elapsed() >= settling_time(engine);
     (settled && !same).then(|| Allotment {
-        most: cold.most,
+        most: cold.max_statements,
         shares,
         before: Some(present.shares.clone()),
     })
@@ -224,23 +224,23 @@
 }
 
 /// Tells what this process may send to a cold member, where that has changed.
-fn tell(engine: &Engine, member: &Member, cold: Cold, told: &mut Told) {
+fn tell(engine: &Engine, member: &Member, cold: ColdStart, told: &mut Told) {
     let now = Instant::now();
     let share = share(engine, member, cold, now);
-    let before = told.insert(member.id.clone(), (share, cold.most));
-    if before != Some((share, cold.most)) {
+    let before = told.insert(member.id.clone(), (share, cold.max_statements));
+    if before != Some((share, cold.max_statements)) {
         engine.events().write(&Event::SlowStart {
             member: member.id.clone(),
             group: member.group.clone(),
             share: Some(share),
-            most: cold.most,
+            most: cold.max_statements,
             left_ms: millis(cold.until.saturating_duration_since(now)),
         });
     }
 }
 
 /// Tells of members that are cold no more.
-fn tell_warm(engine: &Engine, cold: &[(Arc<Member>, Cold)], told: &mut Told) {
+fn tell_warm(engine: &Engine, cold: &[(Arc<Member>, ColdStart)], told: &mut Told) {
     let directory = engine.directory();
     told.retain(|id, _| {
         let is_cold = cold.iter().any(|(member, _)| member.id == *id);
--- a/crates/engine/src/slow_start/guard.rs
+++ b/crates/engine/src/slow_start/guard.rs
@@ -1,10 +1,10 @@
 //! Counting statements where they leave this process.
 //!
-//! All connections that this process opens to members go through [`GuardedBackEnd`]: those of
+//! All connections that this process opens to members go through [`SlowStartBackEnd`]: those of
 //! its sessions, those of others for which it is a home, those for which it reached no home,
 //! and those for orders.
 
-use super::window::{SEND_TIME, Turn, WINDOW};
+use super::window::{SEND_TIME, SendPriority, WINDOW};
 use crate::directory::Member;
 use crate::engine::Engine;
 use crate::evacuation::Sender;
@@ -22,16 +22,16 @@
 
 /// Longest wait of a later statement of a transaction. By then a place is free in any case,
 /// unless more transactions are open than the share has places.
-const LATER_WAIT: Duration = WINDOW;
+const LATER_STATEMENT_WAIT: Duration = WINDOW;
 
 /// Opens connections whose statements are counted while their member is cold.
 #[derive(Debug)]
-pub struct GuardedBackEnd {
+pub struct SlowStartBackEnd {
     engine: Weak<Engine>,
     inner: Arc<dyn BackEnd>,
 }
 
-impl GuardedBackEnd {
+impl SlowStartBackEnd {
     /// For the process of `engine`, which connects by way of `inner`.
     pub fn new(engine: Weak<Engine>, inner: Arc<dyn BackEnd>) -> Self {
         Self { engine, inner }
@@ -39,19 +39,19 @@
 }
 
 #[async_trait]
-impl BackEnd for GuardedBackEnd {
+impl BackEnd for SlowStartBackEnd {
     async fn connect(
         &self,
         member: &Member,
         tenant: Option<&TenantName>,
     ) -> Result<Box<dyn BackEndConnection>, ConnectError> {
         let inner = self.inner.connect(member, tenant).await?;
-        Ok(Box::new(GuardedConnection {
+        Ok(Box::new(SlowStartConnection {
             engine: Weak::clone(&self.engine),
             member: member.id.clone(),
             zone: member.zone.clone(),
             inner,
-            counted: None,
+            counted_at: None,
             state: TransactionState::Idle,
         }))
     }
@@ -59,17 +59,17 @@
 
 /// A connection to a member that may be cold.
 #[derive(Debug)]
-struct GuardedConnection {
+struct SlowStartConnection {
     engine: Weak<Engine>,
     member: MemberId,
     zone: ZoneName,
     inner: Box<dyn BackEndConnection>,
     /// When the next statement was counted, if it was.
-    counted: Option<Instant>,
+    counted_at: Option<Instant>,
     state: TransactionState,
 }
 
-impl GuardedConnection {
+impl SlowStartConnection {
     /// The engine, where there is anything to count.
     fn counting_engine(&self) -> Option<Arc<Engine>> {
         let engine = self.engine.upgrade()?;
@@ -81,12 +81,12 @@
         let Some(engine) = self.counting_engine() else {
             return Ok(());
         };
-        let counted = self.counted.take();
-        if counted.is_some_and(|at| at.elapsed() <= SEND_TIME) {
+        let counted_at = self.counted_at.take();
+        if counted_at.is_some_and(|at| at.elapsed() <= SEND_TIME) {
             return Ok(());
         }
-        let until = Instant::now() + LATER_WAIT;
-        super::pass(&engine, &self.member, Turn::First(until)).await?;
+        let until = Instant::now() + LATER_STATEMENT_WAIT;
+        super::admit_statement(&engine, &self.member, SendPriority::First(until)).await?;
         // The wait may have reached over the end of an evacuation.
         let schedule = engine.evacuation_schedule();
         let may_send = schedule.check(&self.zone, Sender::Home, Instant::now());
@@ -109,14 +109,14 @@
 }
 
 /// Whether `command` counts. The others take no place at the member.
-fn counts(command: &Command) -> bool {
+fn is_counted(command: &Command) -> bool {
     command.is_statement() || matches!(command, Command::Begin { .. })
 }
 
 #[async_trait]
-impl BackEndConnection for GuardedConnection {
+impl BackEndConnection for SlowStartConnection {
     async fn run(&mut self, command: &Command) -> Result<Answer, LinkError> {
-        if counts(command)
+        if is_counted(command)
             && let Err(retry_after) = self.count().await
         {
             return Ok(self.refused(retry_after));
@@ -130,7 +130,7 @@
         if control == Control::Status
             && let Some(engine) = self.counting_engine()
         {
-            super::note_report(&engine, &self.member);
+            super::count_report(&engine, &self.member);
         }
         self.inner.control(control).await
     }
@@ -144,11 +144,12 @@
     }
 
     async fn pace(&mut self, until: Instant) -> Result<(), Duration> {
-        self.counted = None;
+        self.counted_at = None;
         let Some(engine) = self.counting_engine() else {
             return Ok(());
         };
-        self.counted = super::pass(&engine, &self.member, Turn::InOrder(until)).await?;
+        self.counted_at =
+            super::admit_statement(&engine, &self.member, SendPriority::InOrder(until)).await?;
         Ok(())
     }
 }
--- a/crates/engine/src/slow_start/window.rs
+++ b/crates/engine/src/slow_start/window.rs
@@ -31,7 +31,7 @@
 
 /// When a statement may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum SendPriority {
     /// In order of arrival, by a moment.
     InOrder(Instant),
     /// Before those that wait in order, by a moment.
@@ -90,7 +90,7 @@
     }
 
     /// Counts what is sent whether there is a place or not.
-    pub fn note(&mut self, now: Instant) {
+    pub fn record(&mut self, now: Instant) {
         self.forget_past(now);
         self.sent.push_back(now);
     }
@@ -104,7 +104,7 @@
     }
 
     /// Part of `share` that is used.
-    pub fn used(&self, share: usize, now: Instant) -> f64 {
+    pub fn utilization(&self, share: usize, now: Instant) -> f64 {
         let sent = self.sent.iter().filter(|at| **at + WINDOW > now);
         match share {
             0 => 1.0,
@@ -166,30 +166,30 @@
 
 /// Lets statements to one member pass, in order of arrival.
 #[derive(Debug, Default)]
-pub struct Gate {
+pub struct StatementGate {
     state: Mutex<GateState>,
     turn: AsyncMutex<()>,
 }
 
-impl Gate {
+impl StatementGate {
     /// Waits until a statement may be sent, and counts it: returns as of when, or `None` where
     /// nothing is to be counted. What `allowance` tells may change while it waits.
     ///
     /// # Errors
     ///
     /// The time until there is a place, where that comes too late: it has not been sent.
-    pub async fn pass(
+    pub async fn admit(
         &self,
-        turn: Turn,
+        turn: SendPriority,
         allowance: impl Fn(Instant) -> Allowance,
     ) -> Result<Option<Instant>, Duration> {
         let until = match turn {
-            Turn::First(until) => {
+            SendPriority::First(until) => {
                 let _place = Place::new(self, |state| &mut state.first);
                 let take = |state: &mut GateState, share, now| state.window.take(share, now);
                 return self.wait(until, &allowance, take).await;
             }
-            Turn::InOrder(until) => until,
+            SendPriority::InOrder(until) => until,
         };
         let _place = self.enter(until, allowance(Instant::now()))?;
         match timeout_at(until, self.turn.lock()).await {
@@ -200,15 +200,15 @@
     }
 
     /// Counts what is sent in any case.
-    pub fn note(&self) {
-        self.lock().window.note(Instant::now());
+    pub fn record(&self) {
+        self.lock().window.record(Instant::now());
     }
 
     /// Share of `share` that is used, those that wait included.
-    pub fn used(&self, share: usize, now: Instant) -> f64 {
+    pub fn utilization(&self, share: usize, now: Instant) -> f64 {
         let state = self.lock();
         let waiting = state.waiting as f64 / share.max(1) as f64;
-        state.window.used(share, now) + waiting
+        state.window.utilization(share, now) + waiting
     }
 
     /// Takes a place in the queue, unless those before it leave none in time.
@@ -254,12 +254,12 @@
 
 /// Counts one that waits, until it is dropped.
 struct Place<'a> {
-    gate: &'a Gate,
+    gate: &'a StatementGate,
     counter: fn(&mut GateState) -> &mut usize,
 }
 
 impl<'a> Place<'a> {
-    fn new(gate: &'a Gate, counter: fn(&mut GateState) -> &mut usize) -> Self {
+    fn new(gate: &'a StatementGate, counter: fn(&mut GateState) -> &mut usize) -> Self {
         *counter(&mut gate.lock()) += 1;
         Self { gate, counter }
     }
--- a/crates/engine/tests/slow_start_shares.rs
+++ b/crates/engine/tests/slow_start_shares.rs
@@ -8,7 +8,9 @@
 use std::time::Duration;
 use stilequay_engine::names::NodeName;
 use stilequay_engine::slow_start::allotment::{Allotment, Senders, Shares, divide};
-use stilequay_engine::slow_start::window::{Allowance, Gate, SendWindow, Turn, WINDOW};
+use stilequay_engine::slow_start::window::{
+    Allowance, SendPriority, SendWindow, StatementGate, WINDOW,
+};
 use tokio::time::{Instant, sleep};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -57,7 +59,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn statements_pass_in_order_of_arrival() {
-    let gate = Arc::new(Gate::default());
+    let gate = Arc::new(StatementGate::default());
     let order: Arc<Mutex<Vec<usize>>> = Arc::default();
     let mut tasks = Vec::new();
     for index in 0..9 {
@@ -66,7 +68,7 @@
             sleep(Duration::from_millis(index as u64)).await;
             let until = Instant::now() + WINDOW * 5;
             let passed = gate
-                .pass(Turn::InOrder(until), |_| Allowance::Share(2))
+                .admit(SendPriority::InOrder(until), |_| Allowance::Share(2))
                 .await;
             passed.expect("in time");
             order.lock().unwrap().push(index);
@@ -80,22 +82,22 @@
 
 #[tokio::test(start_paused = true)]
 async fn whoever_would_wait_too_long_is_told_when_at_once() {
-    let gate = Gate::default();
+    let gate = StatementGate::default();
     let share = |_| Allowance::Share(1);
-    let soon = || Turn::InOrder(Instant::now() + Duration::from_millis(300));
-    gate.pass(soon(), share).await.expect("a place");
+    let soon = || SendPriority::InOrder(Instant::now() + Duration::from_millis(300));
+    gate.admit(soon(), share).await.expect("a place");
     let asked = Instant::now();
     let wait = gate
-        .pass(soon(), share)
+        .admit(soon(), share)
         .await
         .expect_err("no place in time");
     assert_eq!(asked.elapsed(), Duration::ZERO);
     assert_eq!(wait, WINDOW);
     sleep(Duration::from_millis(900)).await;
-    gate.pass(soon(), share).await.expect("in time");
-    let none = gate.pass(soon(), |_| Allowance::Share(0)).await;
+    gate.admit(soon(), share).await.expect("in time");
+    let none = gate.admit(soon(), |_| Allowance::Share(0)).await;
     assert!(none.is_err());
-    assert_eq!(gate.pass(soon(), |_| Allowance::Unbounded).await, Ok(None));
+    assert_eq!(gate.admit(soon(), |_| Allowance::Unbounded).await, Ok(None));
 }
 
 /// What the model leaves out of the rules.
