--- a/crates/engine/src/slow_start/allot.rs
+++ b/crates/engine/src/slow_start/allot.rs
@@ -16,22 +16,22 @@
 use tokio::time::{Instant, sleep};
 
 /// Interval in which members are looked at while any is cold.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// The same while none is, where groups have a slow start: a member that turns cold is noticed
 /// by its change.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 /// How much longer each candidate waits than the one before it until it writes an allotment. A
 /// write takes some tens of ms.
-const RANK_PAUSE: Duration = Duration::from_millis(400);
+const RANK_DELAY: Duration = Duration::from_millis(400);
 /// Pause at the first start of a fleet, while its processes come to know one another: each
 /// would be the first candidate for a moment.
-const FIRST_START_PAUSE: Duration = Duration::from_secs(2);
+const FIRST_START_DELAY: Duration = Duration::from_secs(2);
 /// Allotments that a record keeps of members that have left: none of them comes back under
 /// its name, and there is no hurry.
-const LEFT_MEMBERS: usize = 8;
+const MAX_DEPARTED_MEMBERS: usize = 8;
 
 /// What was last told of a cold member.
-type Told = HashMap<MemberId, (usize, usize)>;
+type Reported = HashMap<MemberId, (usize, usize)>;
 
 /// Keeps the allotments until the process ends; does nothing while no group has a slow start.
 pub async fn run(engine: &Engine) {
@@ -40,13 +40,13 @@
     let mut records = engine.terms().subscribe_others();
     engine.terms().until_read().await;
     if !fleet::is_registered(engine) {
-        sleep(FIRST_START_PAUSE).await;
+        sleep(FIRST_START_DELAY).await;
     }
-    let mut lacking = HashMap::new();
-    let mut told = Told::new();
+    let mut missing_since = HashMap::new();
+    let mut reported = Reported::new();
     loop {
-        if !engine.slow_starts().is_used() {
-            tell_warm(engine, &[], &mut told);
+        if !engine.slow_starts().is_enabled() {
+            report_warm_members(engine, &[], &mut reported);
             metrics::gauge!("stilequay_cold_members").set(0.0);
             // The sender lives as long as this does.
             let _ = configuration.changed().await;
@@ -54,9 +54,9 @@
         }
         directory.mark_unchanged();
         records.mark_unchanged();
-        let any = look(engine, &mut lacking, &mut told).await;
+        let any = check_members(engine, &mut missing_since, &mut reported).await;
         let pause = match any {
-            true => LOOK_INTERVAL,
+            true => CHECK_INTERVAL,
             false => IDLE_INTERVAL,
         };
         tokio::select! {
@@ -68,7 +68,11 @@
 }
 
 /// Looks at all members once; returns whether any is cold.
-async fn look(engine: &Engine, lacking: &mut HashMap<MemberId, Instant>, told: &mut Told) -> bool {
+async fn check_members(
+    engine: &Engine,
+    missing_since: &mut HashMap<MemberId, Instant>,
+    reported: &mut Reported,
+) -> bool {
     let now = Instant::now();
     let directory = engine.directory();
     let members = directory.members().filter_map(|member| {
@@ -76,37 +80,37 @@
         Some((Arc::clone(member), cold))
     });
     let members: Vec<(Arc<Member>, ColdStart)> = members.collect();
-    lacking.retain(|id, _| members.iter().any(|(member, _)| member.id == *id));
+    missing_since.retain(|id, _| members.iter().any(|(member, _)| member.id == *id));
     for (member, cold) in &members {
         if cold.is_reported {
-            allot(engine, member, *cold, lacking).await;
+            update_allotment(engine, member, *cold, missing_since).await;
         }
-        tell(engine, member, *cold, told);
+        report_share(engine, member, *cold, reported);
     }
-    tell_warm(engine, &members, told);
+    report_warm_members(engine, &members, reported);
     metrics::gauge!("stilequay_cold_members").set(members.len() as f64);
     !members.is_empty()
 }
 
 /// Writes the allotment of `member` where it lacks one that is right and it is this process's
 /// turn to write.
-async fn allot(
+async fn update_allotment(
     engine: &Engine,
     member: &Member,
     cold: ColdStart,
-    lacking: &mut HashMap<MemberId, Instant>,
+    missing_since: &mut HashMap<MemberId, Instant>,
 ) {
     let rank = rank(engine, member);
     let present = engine.slow_starts().allotment(engine, member);
-    let wanted = wanted(engine, member, cold, present.as_ref());
-    let (Some(rank), Some(allotment)) = (rank, wanted) else {
-        lacking.remove(&member.id);
+    let desired = desired_allotment(engine, member, cold, present.as_ref());
+    let (Some(rank), Some(allotment)) = (rank, desired) else {
+        missing_since.remove(&member.id);
         return;
     };
-    let since = *lacking
+    let since = *missing_since
         .entry(member.id.clone())
         .or_insert_with(Instant::now);
-    let wait = RANK_PAUSE * u32::try_from(rank).unwrap_or(u32::MAX);
+    let wait = RANK_DELAY * u32::try_from(rank).unwrap_or(u32::MAX);
     if Instant::now() < since + wait {
         return;
     }
@@ -114,7 +118,7 @@
     if let Err(error) = write(engine, member, present, allotment).await {
         log::warn!("the allotment of {} was not written: {error}", member.id);
         // The next candidate's turn may come before this one tries again.
-        lacking.insert(member.id.clone(), Instant::now() + RANK_PAUSE);
+        missing_since.insert(member.id.clone(), Instant::now() + RANK_DELAY);
     }
 }
 
@@ -131,7 +135,7 @@
 
 /// The allotment that `member` is to have in place of the `present` one, which is known since a
 /// moment; `None` where it has that, or where others may not have heard of the present one yet.
-fn wanted(
+fn desired_allotment(
     engine: &Engine,
     member: &Member,
     cold: ColdStart,
@@ -207,27 +211,27 @@
         return Ok(());
     }
     next.members.insert(member.id.clone(), allotment);
-    forget_left(engine, &mut next);
+    prune_departed(engine, &mut next);
     let value = encoding::with_names(&next);
     let put = engine.terms().put_other(key, known.as_ref(), value);
     put.await.map(drop)
 }
 
 /// Drops members that have left, if there are many.
-fn forget_left(engine: &Engine, allotments: &mut Allotments) {
+fn prune_departed(engine: &Engine, allotments: &mut Allotments) {
     let directory = engine.directory();
     let has_left = |id: &MemberId| directory.member(id).is_none();
     let left = allotments.members.keys().filter(|id| has_left(id)).count();
-    if left > LEFT_MEMBERS {
+    if left > MAX_DEPARTED_MEMBERS {
         allotments.members.retain(|id, _| !has_left(id));
     }
 }
 
 /// Tells what this process may send to a cold member, where that has changed.
-fn tell(engine: &Engine, member: &Member, cold: ColdStart, told: &mut Told) {
+fn report_share(engine: &Engine, member: &Member, cold: ColdStart, reported: &mut Reported) {
     let now = Instant::now();
     let share = share(engine, member, cold, now);
-    let before = told.insert(member.id.clone(), (share, cold.max_statements));
+    let before = reported.insert(member.id.clone(), (share, cold.max_statements));
     if before != Some((share, cold.max_statements)) {
         engine.events().write(&Event::SlowStart {
             member: member.id.clone(),
@@ -240,9 +244,13 @@
 }
 
 /// Tells of members that are cold no more.
-fn tell_warm(engine: &Engine, cold: &[(Arc<Member>, ColdStart)], told: &mut Told) {
+fn report_warm_members(
+    engine: &Engine,
+    cold: &[(Arc<Member>, ColdStart)],
+    reported: &mut Reported,
+) {
     let directory = engine.directory();
-    told.retain(|id, _| {
+    reported.retain(|id, _| {
         let is_cold = cold.iter().any(|(member, _)| member.id == *id);
         if !is_cold && let Some(member) = directory.member(id) {
             engine.events().write(&Event::SlowStart {
--- a/crates/engine/src/slow_start/allotment.rs
+++ b/crates/engine/src/slow_start/allotment.rs
@@ -9,10 +9,10 @@
 pub const KEY_PREFIX: &str = "slow-start/";
 /// Parts of a member's allowance for each of its candidates, the homes first. The homes run all
 /// of its statements while they live; what others have is lost until a home is.
-const CANDIDATE_PARTS: [usize; 4] = [4, 4, 1, 1];
+const CANDIDATE_WEIGHTS: [usize; 4] = [4, 4, 1, 1];
 /// Part of what a cold member takes that is left to orders and reports, which are never held
 /// back: a survey asks each member a few times in a change of leader.
-const ORDER_PART: usize = 10;
+const CONTROL_FRACTION: usize = 10;
 
 /// Statements in each window, by process. Those that are not named have none.
 pub type Shares = BTreeMap<NodeName, usize>;
@@ -94,16 +94,16 @@
 /// assert_eq!(shares.into_values().collect::<Vec<_>>(), [3, 3, 2]);
 /// ```
 pub fn divide(most: usize, senders: &Senders) -> Shares {
-    let total = most - orders(most);
-    let (nodes, parts): (&[NodeName], Vec<usize>) = match senders {
+    let total = most - control_reserve(most);
+    let (nodes, weights): (&[NodeName], Vec<usize>) = match senders {
         Senders::Candidates(nodes) => {
-            let nodes = &nodes[..nodes.len().min(CANDIDATE_PARTS.len())];
-            (nodes, CANDIDATE_PARTS[..nodes.len()].to_vec())
+            let nodes = &nodes[..nodes.len().min(CANDIDATE_WEIGHTS.len())];
+            (nodes, CANDIDATE_WEIGHTS[..nodes.len()].to_vec())
         }
         Senders::All(nodes) => (nodes, vec![1; nodes.len()]),
     };
-    let all: usize = parts.iter().sum();
-    let mut shares: Vec<usize> = parts.iter().map(|part| total * part / all).collect();
+    let all: usize = weights.iter().sum();
+    let mut shares: Vec<usize> = weights.iter().map(|weight| total * weight / all).collect();
     let left = total - shares.iter().sum::<usize>();
     // Less than one for each.
     shares.iter_mut().take(left).for_each(|share| *share += 1);
@@ -111,9 +111,9 @@
 }
 
 /// What is left to orders and reports.
-fn orders(most: usize) -> usize {
+fn control_reserve(most: usize) -> usize {
     match most {
         0 | 1 => 0,
-        most => most.div_ceil(ORDER_PART),
+        most => most.div_ceil(CONTROL_FRACTION),
     }
 }
--- a/crates/engine/src/slow_start/guard.rs
+++ b/crates/engine/src/slow_start/guard.rs
@@ -73,7 +73,7 @@
     /// The engine, where there is anything to count.
     fn counting_engine(&self) -> Option<Arc<Engine>> {
         let engine = self.engine.upgrade()?;
-        engine.slow_starts().is_used().then_some(engine)
+        engine.slow_starts().is_enabled().then_some(engine)
     }
 
     /// Counts a statement that is about to be sent, unless it was counted just before.
--- a/crates/engine/src/slow_start/mod.rs
+++ b/crates/engine/src/slow_start/mod.rs
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub struct SlowStarts {
     /// Whether any group has a slow start. Without one nothing here is looked at.
-    used: AtomicBool,
+    enabled: AtomicBool,
     began: Instant,
     records_as_of: Mutex<Option<Instant>>,
     returned: Mutex<HashMap<ZoneName, Instant>>,
@@ -79,7 +79,7 @@
 impl Default for SlowStarts {
     fn default() -> Self {
         Self {
-            used: AtomicBool::new(false),
+            enabled: AtomicBool::new(false),
             began: Instant::now(),
             records_as_of: Mutex::default(),
             returned: Mutex::default(),
@@ -91,15 +91,15 @@
 
 impl SlowStarts {
     /// Whether any group has a slow start.
-    pub fn is_used(&self) -> bool {
-        self.used.load(Ordering::Relaxed)
+    pub fn is_enabled(&self) -> bool {
+        self.enabled.load(Ordering::Relaxed)
     }
 
     /// Takes a configuration that was just taken into use.
     pub(crate) fn apply_configuration(&self, configuration: &Configuration) {
         let mut groups = configuration.groups.values();
-        let used = groups.any(|group| group.slow_start.is_some());
-        self.used.store(used, Ordering::Relaxed);
+        let enabled = groups.any(|group| group.slow_start.is_some());
+        self.enabled.store(enabled, Ordering::Relaxed);
     }
 
     /// Takes evacuations that were just taken into use in place of `before`.
@@ -300,7 +300,7 @@
 /// How much of what may be sent to the member of `pool` at `now` is used; one where nothing is
 /// left, zero where it is not cold. What its homes have sent is not known.
 pub(crate) fn utilization(engine: &Engine, pool: &MemberPool, now: Instant) -> f64 {
-    if !engine.slow_starts().is_used() {
+    if !engine.slow_starts().is_enabled() {
         return 0.0;
     }
     let directory = engine.directory();
--- a/crates/engine/src/slow_start/window.rs
+++ b/crates/engine/src/slow_start/window.rs
@@ -17,8 +17,8 @@
 
 /// Parts of a window over which statements that wait in order are spread: a later statement of
 /// an open transaction then finds a place within one part, a quarter of a second.
-const PARTS: usize = 4;
-const PARTS_U32: u32 = PARTS as u32;
+const WINDOW_PARTS: usize = 4;
+const WINDOW_PARTS_U32: u32 = WINDOW_PARTS as u32;
 
 /// What one process may send to a member in each [`WINDOW`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -46,10 +46,10 @@
 /// use tokio::time::Instant;
 /// let mut window = SendWindow::default();
 /// let now = Instant::now();
-/// assert_eq!(window.take(2, now), Ok(()));
-/// assert_eq!(window.take(2, now), Ok(()));
-/// assert_eq!(window.take(2, now), Err(now + WINDOW));
-/// assert_eq!(window.take(2, now + WINDOW), Ok(()));
+/// assert_eq!(window.try_take(2, now), Ok(()));
+/// assert_eq!(window.try_take(2, now), Ok(()));
+/// assert_eq!(window.try_take(2, now), Err(now + WINDOW));
+/// assert_eq!(window.try_take(2, now + WINDOW), Ok(()));
 /// ```
 #[derive(Debug, Default)]
 pub struct SendWindow {
@@ -63,25 +63,25 @@
     /// # Errors
     ///
     /// When there will be a place for one, if nothing else is sent meanwhile.
-    pub fn take(&mut self, share: usize, now: Instant) -> Result<(), Instant> {
-        self.forget_past(now);
+    pub fn try_take(&mut self, share: usize, now: Instant) -> Result<(), Instant> {
+        self.remove_expired(now);
         let free_at = free_at(&self.sent, (share, WINDOW), 0, now);
-        self.take_from(free_at, now)
+        self.take_at(free_at, now)
     }
 
-    /// As [`SendWindow::take`], with the share spread over the window: in each of its parts
+    /// As [`SendWindow::try_take`], with the share spread over the window: in each of its parts
     /// only a part of the share is sent.
     ///
     /// # Errors
     ///
-    /// As for [`SendWindow::take`].
-    pub fn take_spread(&mut self, share: usize, now: Instant) -> Result<(), Instant> {
-        self.forget_past(now);
+    /// As for [`SendWindow::try_take`].
+    pub fn try_take_spread(&mut self, share: usize, now: Instant) -> Result<(), Instant> {
+        self.remove_expired(now);
         let free_at = self.spread_free_at(share, 0, now);
-        self.take_from(free_at, now)
+        self.take_at(free_at, now)
     }
 
-    fn take_from(&mut self, free_at: Instant, now: Instant) -> Result<(), Instant> {
+    fn take_at(&mut self, free_at: Instant, now: Instant) -> Result<(), Instant> {
         if free_at > now {
             return Err(free_at);
         }
@@ -91,7 +91,7 @@
 
     /// Counts what is sent whether there is a place or not.
     pub fn record(&mut self, now: Instant) {
-        self.forget_past(now);
+        self.remove_expired(now);
         self.sent.push_back(now);
     }
 
@@ -99,7 +99,7 @@
     /// window.
     pub fn spread_free_at(&self, share: usize, ahead: usize, now: Instant) -> Instant {
         let whole = free_at(&self.sent, (share, WINDOW), ahead, now);
-        let part = (share.div_ceil(PARTS), WINDOW / PARTS_U32);
+        let part = (share.div_ceil(WINDOW_PARTS), WINDOW / WINDOW_PARTS_U32);
         whole.max(free_at(&self.sent, part, ahead, now))
     }
 
@@ -112,7 +112,7 @@
         }
     }
 
-    fn forget_past(&mut self, now: Instant) {
+    fn remove_expired(&mut self, now: Instant) {
         while self.sent.front().is_some_and(|at| *at + WINDOW <= now) {
             self.sent.pop_front();
         }
@@ -148,17 +148,17 @@
     /// Statements that wait in order.
     waiting: usize,
     /// Statements that go before these.
-    first: usize,
+    waiting_first: usize,
 }
 
 impl GateState {
     /// Counts one statement of those that wait in order: the others have places before it.
     fn take_in_order(&mut self, share: usize, now: Instant) -> Result<(), Instant> {
         match share {
-            0 | 1 => self.window.take(share, now),
+            0 | 1 => self.window.try_take(share, now),
             _ => {
-                let left = share.saturating_sub(self.first).max(1);
-                self.window.take_spread(left, now)
+                let left = share.saturating_sub(self.waiting_first).max(1);
+                self.window.try_take_spread(left, now)
             }
         }
     }
@@ -185,13 +185,13 @@
     ) -> Result<Option<Instant>, Duration> {
         let until = match turn {
             SendPriority::First(until) => {
-                let _place = Place::new(self, |state| &mut state.first);
-                let take = |state: &mut GateState, share, now| state.window.take(share, now);
+                let _waiter = WaiterGuard::new(self, |state| &mut state.waiting_first);
+                let take = |state: &mut GateState, share, now| state.window.try_take(share, now);
                 return self.wait(until, &allowance, take).await;
             }
             SendPriority::InOrder(until) => until,
         };
-        let _place = self.enter(until, allowance(Instant::now()))?;
+        let _waiter = self.enqueue(until, allowance(Instant::now()))?;
         match timeout_at(until, self.turn.lock()).await {
             Ok(_turn) => self.wait(until, &allowance, GateState::take_in_order).await,
             // Those before it were let pass later than was expected.
@@ -212,7 +212,7 @@
     }
 
     /// Takes a place in the queue, unless those before it leave none in time.
-    fn enter(&self, until: Instant, allowance: Allowance) -> Result<Place<'_>, Duration> {
+    fn enqueue(&self, until: Instant, allowance: Allowance) -> Result<WaiterGuard<'_>, Duration> {
         let now = Instant::now();
         let state = self.lock();
         if let Allowance::Share(share) = allowance {
@@ -222,7 +222,7 @@
             }
         }
         drop(state);
-        Ok(Place::new(self, |state| &mut state.waiting))
+        Ok(WaiterGuard::new(self, |state| &mut state.waiting))
     }
 
     async fn wait(
@@ -253,19 +253,19 @@
 }
 
 /// Counts one that waits, until it is dropped.
-struct Place<'a> {
+struct WaiterGuard<'a> {
     gate: &'a StatementGate,
     counter: fn(&mut GateState) -> &mut usize,
 }
 
-impl<'a> Place<'a> {
+impl<'a> WaiterGuard<'a> {
     fn new(gate: &'a StatementGate, counter: fn(&mut GateState) -> &mut usize) -> Self {
         *counter(&mut gate.lock()) += 1;
         Self { gate, counter }
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for WaiterGuard<'_> {
     fn drop(&mut self) {
         *(self.counter)(&mut self.gate.lock()) -= 1;
     }
--- a/crates/engine/tests/slow_start.rs
+++ b/crates/engine/tests/slow_start.rs
@@ -597,7 +597,7 @@
     let starts = fleet
         .nodes
         .iter()
-        .map(|node| node.engine.slow_starts().is_used());
+        .map(|node| node.engine.slow_starts().is_enabled());
     assert!(starts.into_iter().all(|used| !used));
     assert_eq!(shares(&fleet, "b"), None);
     let mut client = fleet.session(0, BOUNDED_DATABASE);
--- a/crates/engine/tests/slow_start_shares.rs
+++ b/crates/engine/tests/slow_start_shares.rs
@@ -211,7 +211,7 @@
             };
             let settled = now >= since + settling || mistake == Mistake::NoSettling;
             let share = store[known].share(name, MODEL_MOST, settled);
-            while sender.window.take(share, now).is_ok() {
+            while sender.window.try_take(share, now).is_ok() {
                 sent.push(now);
             }
         }
