--- a/crates/engine/src/directory.rs
+++ b/crates/engine/src/directory.rs
@@ -238,7 +238,7 @@
     }
 
     /// Groups the members anew after a change.
-    fn grouped(mut self) -> Self {
+    fn regrouped(mut self) -> Self {
         self.groups.clear();
         for member in self.members.values() {
             let group = self.groups.entry(member.group.clone()).or_default();
@@ -250,7 +250,7 @@
 
     /// The directory with those of `members` that it does not know; `None` where it knows
     /// them all.
-    pub fn remembering(&self, members: Vec<Member>) -> Option<Self> {
+    pub fn with_unknown(&self, members: Vec<Member>) -> Option<Self> {
         let unknown = members.into_iter();
         let unknown = unknown.filter(|member| !self.members.contains_key(&member.id));
         let unknown: Vec<Member> = unknown.collect();
@@ -261,12 +261,12 @@
         let added = unknown.into_iter();
         next.members
             .extend(added.map(|member| (member.id.clone(), Arc::new(member))));
-        Some(next.grouped())
+        Some(next.regrouped())
     }
 
     /// The directory after the entries `present`, read in whole as of `version`; what is
     /// missing has gone by `departure`.
-    pub fn replaced(&self, version: u64, present: Vec<Member>, departure: Departure) -> Self {
+    pub fn with_entries(&self, version: u64, present: Vec<Member>, departure: Departure) -> Self {
         let mut next = Self {
             version: self.version,
             forgotten: self.forgotten,
@@ -281,11 +281,11 @@
                 next.insert_gone(member, departure, version);
             }
         }
-        next.grouped()
+        next.regrouped()
     }
 
     /// The directory after some entries have changed, the last of them with `version`.
-    pub fn updated(
+    pub fn with_changes(
         &self,
         version: u64,
         changes: Vec<DirectoryChange>,
@@ -305,18 +305,18 @@
             }
         }
         next.forget_long_gone(departure.learned);
-        next.grouped()
+        next.regrouped()
     }
 
     /// The directory as of `version`, where `changed` are all that have changed since.
-    pub fn merged(&self, version: u64, changed: Vec<Member>, now: Instant) -> Self {
+    pub fn merged_with(&self, version: u64, changed: Vec<Member>, now: Instant) -> Self {
         let mut next = self.clone();
         for member in changed {
             next.insert(self.keep_since(member, false));
         }
         next.version = next.version.max(version);
         next.forget_long_gone(now);
-        next.grouped()
+        next.regrouped()
     }
 
     /// Takes a member as it is told.
@@ -395,7 +395,7 @@
             // The change was told already; that nothing came of it is noticed by everybody.
             next.insert_gone(&member, Departure::at(now), member.changed);
         }
-        Some(next.grouped())
+        Some(next.regrouped())
     }
 
     /// Takes it that the entry of `member` went away with the version `changed`.
--- a/crates/engine/src/group/mod.rs
+++ b/crates/engine/src/group/mod.rs
@@ -49,7 +49,7 @@
     /// Whether the leader is known to have taken the lead.
     pub confirmed: bool,
     /// What the leader's log held when it was chosen; `None` where nobody was ever promoted.
-    pub held: Option<LogPosition>,
+    pub position_when_chosen: Option<LogPosition>,
 }
 
 impl LeaderView {
@@ -97,7 +97,7 @@
     state: Mutex<GroupState>,
     changes: watch::Sender<u64>,
     evidence_changes: watch::Sender<u64>,
-    questions: AsyncMutex<()>,
+    query_lock: AsyncMutex<()>,
 }
 
 impl Group {
@@ -108,7 +108,7 @@
             leader: None,
             writable_from: None,
             confirmed: false,
-            held: None,
+            position_when_chosen: None,
         };
         Self {
             name,
@@ -121,7 +121,7 @@
             }),
             changes: watch::Sender::new(0),
             evidence_changes: watch::Sender::new(0),
-            questions: AsyncMutex::new(()),
+            query_lock: AsyncMutex::new(()),
         }
     }
 
@@ -131,8 +131,8 @@
     }
 
     /// Held by the task that asks members on behalf of all.
-    pub fn questions(&self) -> &AsyncMutex<()> {
-        &self.questions
+    pub fn query_lock(&self) -> &AsyncMutex<()> {
+        &self.query_lock
     }
 
     /// Where its leadership stands.
@@ -176,7 +176,7 @@
 
     /// Takes that nobody was ever promoted, and that `leader` says it leads. `begun` is
     /// when a read of the store was begun that showed the first.
-    pub fn apply_first_leader(&self, leader: Option<MemberId>, begun: Option<Instant>) -> bool {
+    pub fn apply_initial_leader(&self, leader: Option<MemberId>, begun: Option<Instant>) -> bool {
         let mut state = self.lock();
         if state.view.epoch > 0 {
             return false;
@@ -198,24 +198,24 @@
         if now < from {
             return None;
         }
-        usable(&state.view)
+        usable_leader(&state.view)
     }
 
     /// The member that holds, at `now`, every commit acknowledged longer than
     /// `staleness` ago, by the evidence for its term.
     pub fn leased_leader(&self, now: Instant, staleness: Duration) -> Option<UsableLeader> {
         let state = self.lock();
-        let lapses = state.evidence? + TERM_LEASE + staleness;
-        if now >= lapses || !state.view.confirmed {
+        let expires_at = state.evidence? + TERM_LEASE + staleness;
+        if now >= expires_at || !state.view.confirmed {
             return None;
         }
-        usable(&state.view)
+        usable_leader(&state.view)
     }
 
     /// `member` as the leader, if it is known to lead now.
     pub fn as_leader(&self, member: &MemberId) -> Option<UsableLeader> {
         let state = self.lock();
-        usable(&state.view).filter(|leader| state.view.confirmed && leader.member == *member)
+        usable_leader(&state.view).filter(|leader| state.view.confirmed && leader.member == *member)
     }
 
     /// When the newest evidence for the leader's term was begun.
@@ -229,14 +229,14 @@
     }
 
     /// Notes that a replica receives what the leader commits.
-    pub fn replication_works(&self) {
+    pub fn record_replication_working(&self) {
         let mut state = self.lock();
         state.commit_waiting_since = None;
         state.commits_stalled = false;
     }
 
     /// Notes that no replica receives what the leader commits.
-    pub fn replication_fails(&self) {
+    pub fn record_replication_stalled(&self) {
         self.lock().commits_stalled = true;
     }
 
@@ -302,12 +302,15 @@
     /// The position that the log of `leader` is known to have reached. Its server may start again
     /// with nothing before any statement has told one of this epoch: then it is what the leader
     /// held when it was chosen.
-    pub fn reached_by(&self, leader: &UsableLeader) -> Option<LogPosition> {
+    pub fn known_position(&self, leader: &UsableLeader) -> Option<LogPosition> {
         let state = self.lock();
         let newest = state.samples.newest();
-        let told = newest.filter(|sample| sample.epoch == leader.epoch);
-        let held = state.view.held.filter(|_| state.view.is_led_by(leader));
-        told.map(|sample| sample.position).max(held)
+        let sampled = newest.filter(|sample| sample.epoch == leader.epoch);
+        let chosen = state
+            .view
+            .position_when_chosen
+            .filter(|_| state.view.is_led_by(leader));
+        sampled.map(|sample| sample.position).max(chosen)
     }
 
     /// Takes evidence for the term of `leader` that another process had at `at`.
@@ -320,23 +323,23 @@
     }
 
     /// The newest position that is known to cover a moment, of whatever epoch.
-    pub fn newest_known(&self) -> Option<LogPosition> {
+    pub fn newest_position(&self) -> Option<LogPosition> {
         self.lock().samples.newest().map(|sample| sample.position)
     }
 
     /// The newest moment that a position is known to cover.
-    pub fn newest_covering(&self) -> Option<PositionSample> {
+    pub fn newest_sample(&self) -> Option<PositionSample> {
         let state = self.lock();
         let newest = state.samples.newest()?;
         (newest.epoch == state.view.epoch).then_some(newest)
     }
 
     /// What another process is told of the positions that cover moments, oldest first.
-    pub fn coverings_to_tell(&self) -> Vec<PositionSample> {
+    pub fn samples_to_share(&self) -> Vec<PositionSample> {
         let state = self.lock();
-        let mut told = state.samples.to_tell();
-        told.retain(|sample| sample.epoch == state.view.epoch);
-        told
+        let mut shared = state.samples.samples_to_share();
+        shared.retain(|sample| sample.epoch == state.view.epoch);
+        shared
     }
 
     /// Takes a position that is said to cover what was acknowledged before `at`.
@@ -390,7 +393,7 @@
     }
 }
 
-fn usable(view: &LeaderView) -> Option<UsableLeader> {
+fn usable_leader(view: &LeaderView) -> Option<UsableLeader> {
     Some(UsableLeader {
         member: view.leader.clone()?,
         epoch: view.epoch,
@@ -420,8 +423,8 @@
         leader,
         writable_from,
         confirmed,
-        held: match record.phase {
-            TermPhase::Fencing => before.held,
+        position_when_chosen: match record.phase {
+            TermPhase::Fencing => before.position_when_chosen,
             TermPhase::Promoting | TermPhase::Active => record.target_received,
         },
     }
--- a/crates/engine/src/group/samples.rs
+++ b/crates/engine/src/group/samples.rs
@@ -20,8 +20,8 @@
 /// Least time between two samples that are kept.
 const SPACING: Duration = Duration::from_millis(60);
 /// The same for samples that are told to other processes, and how many these are.
-const TOLD_SPACING: Duration = Duration::from_millis(300);
-const TOLD: usize = 10;
+const SHARED_SPACING: Duration = Duration::from_millis(300);
+const MAX_SHARED: usize = 10;
 /// Greatest number of samples kept: more than any staleness that routes allow needs.
 const CAPACITY: usize = 96;
 
@@ -56,21 +56,21 @@
 
     /// Samples for another process, oldest first: the newest, and earlier ones of its epoch
     /// some time apart.
-    pub fn to_tell(&self) -> Vec<PositionSample> {
+    pub fn samples_to_share(&self) -> Vec<PositionSample> {
         let Some(newest) = self.newest else {
             return Vec::new();
         };
-        let mut told = vec![newest];
+        let mut shared = vec![newest];
         for sample in self.kept.iter().rev() {
-            let earlier = told
+            let earlier = shared
                 .last()
-                .is_some_and(|last| sample.at + TOLD_SPACING <= last.at);
-            if earlier && sample.epoch == newest.epoch && told.len() < TOLD {
-                told.push(*sample);
+                .is_some_and(|last| sample.at + SHARED_SPACING <= last.at);
+            if earlier && sample.epoch == newest.epoch && shared.len() < MAX_SHARED {
+                shared.push(*sample);
             }
         }
-        told.reverse();
-        told
+        shared.reverse();
+        shared
     }
 
     /// The sample that covers the latest moment.
@@ -83,10 +83,10 @@
     pub fn covering(&self, moment: Instant) -> Option<LogPosition> {
         let newest = self.newest.filter(|sample| sample.at >= moment)?;
         let covering = self.kept.partition_point(|sample| sample.at < moment);
-        let of_epoch = self
+        let epoch_start = self
             .kept
             .partition_point(|sample| sample.epoch < newest.epoch);
-        let oldest = self.kept.get(covering.max(of_epoch)).unwrap_or(&newest);
+        let oldest = self.kept.get(covering.max(epoch_start)).unwrap_or(&newest);
         Some(oldest.position)
     }
 }
--- a/crates/engine/src/leadership/follower.rs
+++ b/crates/engine/src/leadership/follower.rs
@@ -382,7 +382,7 @@
                     let record = acting_record(&directory, term.record);
                     group.apply_record(&record, None, Instant::now())
                 }
-                None => group.apply_first_leader(first_leader(&directory, &name), None),
+                None => group.apply_initial_leader(first_leader(&directory, &name), None),
             };
             if changed {
                 tell_leader(engine, &group);
@@ -441,7 +441,7 @@
         for name in groups {
             if self.known(name).is_none() {
                 let leader = first_leader(&directory, name);
-                engine.group(name).apply_first_leader(leader, Some(begun));
+                engine.group(name).apply_initial_leader(leader, Some(begun));
             }
         }
     }
--- a/crates/engine/src/leadership/freshness.rs
+++ b/crates/engine/src/leadership/freshness.rs
@@ -31,7 +31,7 @@
     if let Some(position) = group.covering_position(moment) {
         return Some(position);
     }
-    let _one_at_a_time = timeout_at(until, group.questions().lock()).await.ok()?;
+    let _one_at_a_time = timeout_at(until, group.query_lock().lock()).await.ok()?;
     if let Some(position) = group.covering_position(moment) {
         return Some(position);
     }
--- a/crates/engine/src/leadership/promotion.rs
+++ b/crates/engine/src/leadership/promotion.rs
@@ -167,7 +167,7 @@
                 previous: &previous,
                 term: fencing,
                 sync_replicas,
-                known: self.engine.group(&self.group).newest_known(),
+                known: self.engine.group(&self.group).newest_position(),
                 evacuations: &evacuations,
                 topology: &self.engine.settings().topology,
             };
--- a/crates/engine/src/leadership/suspicion.rs
+++ b/crates/engine/src/leadership/suspicion.rs
@@ -177,12 +177,12 @@
         let replicas = replica_reports(engine, group, leader).await;
         let received = replicas.iter().any(|r| r.received >= report.received);
         if received {
-            group.replication_works();
+            group.record_replication_working();
             return None;
         }
         suspicion = (!replicas.is_empty()).then_some(Suspicion::CommitsStalled);
     }
-    group.replication_fails();
+    group.record_replication_stalled();
     suspicion
 }
 
--- a/crates/engine/src/peers/mod.rs
+++ b/crates/engine/src/peers/mod.rs
@@ -38,7 +38,7 @@
     let now = Instant::now();
     let age_ms = |at: Instant| millis(now.duration_since(at)) + 1;
     let view = group.view();
-    let covering = group.coverings_to_tell().into_iter();
+    let covering = group.samples_to_share().into_iter();
     let covering = covering.map(|sample| CoveringBelief {
         position: sample.position,
         age_ms: age_ms(sample.at),
--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -266,7 +266,7 @@
                 Wanted::Evidence | Wanted::Position => renew_evidence(&self.engine, group).await,
             }
         }
-        let covered = group.newest_covering().map(|sample| sample.at);
+        let covered = group.newest_sample().map(|sample| sample.at);
         if wanted == Wanted::Position && !is_recent(covered, POSITION_AGE) {
             freshness::ask_leader(&self.engine, group).await;
         }
--- a/crates/engine/src/session/read.rs
+++ b/crates/engine/src/session/read.rs
@@ -294,7 +294,7 @@
 ) -> ReadOutcome {
     let pool = target.pool();
     let leader = job.group.as_leader(&pool.member().id);
-    let reached = leader.as_ref().and_then(|at| job.group.reached_by(at));
+    let reached = leader.as_ref().and_then(|at| job.group.known_position(at));
     let sent = Instant::now();
     let running = async {
         let put = connection.apply_values(&job.acquire_request.values).await;
--- a/crates/engine/src/session/transaction/opening.rs
+++ b/crates/engine/src/session/transaction/opening.rs
@@ -161,7 +161,7 @@
     };
     let known = transaction.group.as_leader(&member);
     let reached = known.as_ref();
-    let reached = reached.and_then(|leader| transaction.group.reached_by(leader));
+    let reached = reached.and_then(|leader| transaction.group.known_position(leader));
     let sent = Instant::now();
     let opening = async {
         let put = connection.apply_values(&acquire_request.values).await;
--- a/crates/engine/tests/beliefs.rs
+++ b/crates/engine/tests/beliefs.rs
@@ -50,7 +50,7 @@
     let group = group();
     let begun = Instant::now();
     advance(Duration::from_millis(150)).await;
-    group.apply_first_leader(Some("a".into()), Some(begun));
+    group.apply_initial_leader(Some("a".into()), Some(begun));
     assert_eq!(leader(&group, Duration::ZERO).as_deref(), Some("a"));
     advance(TERM_LEASE - Duration::from_millis(150)).await;
     assert_eq!(leader(&group, Duration::ZERO), None);
@@ -67,7 +67,7 @@
     #[case] expected: Option<&str>,
 ) {
     let group = group();
-    group.apply_first_leader(Some("a".into()), Some(Instant::now()));
+    group.apply_initial_leader(Some("a".into()), Some(Instant::now()));
     advance(Duration::from_secs(1)).await;
     let sent = Instant::now();
     group.record_commit(
@@ -83,7 +83,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_commit_of_an_earlier_epoch_is_no_evidence_for_the_next() {
     let group = group();
-    group.apply_first_leader(Some("a".into()), Some(Instant::now()));
+    group.apply_initial_leader(Some("a".into()), Some(Instant::now()));
     group.apply_record(
         &record(1, TermPhase::Promoting, Some("b")),
         None,
@@ -101,7 +101,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_fence_stops_writes_at_once_and_reads_when_the_evidence_lapses() {
     let group = group();
-    group.apply_first_leader(Some("a".into()), Some(Instant::now()));
+    group.apply_initial_leader(Some("a".into()), Some(Instant::now()));
     let fencing = record(1, TermPhase::Fencing, None);
     let begun = Some(Instant::now());
     group.apply_record(&fencing, begun, Instant::now());
@@ -115,7 +115,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_new_leader_is_used_a_lease_after_the_fence_was_learned_of() {
     let group = group();
-    group.apply_first_leader(Some("a".into()), Some(Instant::now()));
+    group.apply_initial_leader(Some("a".into()), Some(Instant::now()));
     let promoting = record(1, TermPhase::Promoting, Some("b"));
     group.apply_record(&promoting, Some(Instant::now()), Instant::now());
     assert_eq!(writable(&group), None);
@@ -133,14 +133,14 @@
 #[tokio::test(start_paused = true)]
 async fn an_active_leader_is_used_at_once_and_an_older_epoch_never_again() {
     let group = group();
-    group.apply_first_leader(Some("a".into()), Some(Instant::now()));
+    group.apply_initial_leader(Some("a".into()), Some(Instant::now()));
     let active = record(2, TermPhase::Active, Some("c"));
     group.apply_record(&active, Some(Instant::now()), Instant::now());
     assert_eq!(writable(&group).as_deref(), Some("c"));
     assert_eq!(leader(&group, Duration::ZERO).as_deref(), Some("c"));
     let older = record(1, TermPhase::Active, Some("b"));
     assert!(!group.apply_record(&older, Some(Instant::now()), Instant::now()));
-    assert!(!group.apply_first_leader(Some("a".into()), Some(Instant::now())));
+    assert!(!group.apply_initial_leader(Some("a".into()), Some(Instant::now())));
     assert_eq!(writable(&group).as_deref(), Some("c"));
 }
 
@@ -156,7 +156,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_position_told_without_evidence_covers_nothing() {
     let group = group();
-    group.apply_first_leader(Some("a".into()), Some(Instant::now()));
+    group.apply_initial_leader(Some("a".into()), Some(Instant::now()));
     advance(TERM_LEASE * 2).await;
     let sent = Instant::now();
     group.record_leader_position(&led_by("a", 0), sent, LogPosition::new(1, 5));
@@ -167,7 +167,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_position_told_by_the_old_leader_covers_nothing_once_another_is_chosen() {
     let group = group();
-    group.apply_first_leader(Some("a".into()), Some(Instant::now()));
+    group.apply_initial_leader(Some("a".into()), Some(Instant::now()));
     let fencing = record(1, TermPhase::Fencing, None);
     group.apply_record(&fencing, None, Instant::now());
     let old = group.as_leader(&"a".into()).expect("it leads on");
@@ -184,7 +184,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_lower_position_can_not_cover_a_later_moment() {
     let group = group();
-    group.apply_first_leader(Some("a".into()), Some(Instant::now()));
+    group.apply_initial_leader(Some("a".into()), Some(Instant::now()));
     group.record_leader_position(&led_by("a", 0), Instant::now(), LogPosition::new(1, 255));
     advance(Duration::from_millis(200)).await;
     let later = Instant::now();
