--- a/crates/engine/src/configuration.rs
+++ b/crates/engine/src/configuration.rs
@@ -171,7 +171,9 @@
         let tenant = tenant.and_then(|name| self.tenants.get(name));
         let tenant = tenant.map(|tenant| &tenant.residency);
         let anywhere = &Residency::ANYWHERE;
-        route.unwrap_or(anywhere).and(tenant.unwrap_or(anywhere))
+        route
+            .unwrap_or(anywhere)
+            .intersection(tenant.unwrap_or(anywhere))
     }
 
     /// The tenant whose credential this is.
--- a/crates/engine/src/directory.rs
+++ b/crates/engine/src/directory.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Departure {
     /// When this process learned of it.
-    pub learned: Instant,
+    pub learned_at: Instant,
     /// Since when it may have been known to others: when the entries were last known to
     /// say nothing of it. `None` where they were never read before.
     pub earliest: Option<Instant>,
@@ -36,7 +36,7 @@
     /// A departure that nobody can have known of before `now`.
     pub fn at(now: Instant) -> Self {
         Self {
-            learned: now,
+            learned_at: now,
             earliest: Some(now),
             lapsed_until: None,
         }
@@ -130,7 +130,7 @@
 
 impl Member {
     /// Whether both tell the same, with whichever version.
-    fn is_like(&self, other: &Self) -> bool {
+    fn same_except_version(&self, other: &Self) -> bool {
         let changed = other.changed;
         *other
             == Self {
@@ -159,14 +159,14 @@
     /// The same by group; made anew after each change.
     groups: BTreeMap<GroupName, Vec<Arc<Member>>>,
     /// The names of the groups, sorted.
-    names: Arc<[GroupName]>,
+    sorted_groups: Arc<[GroupName]>,
     /// The newest version of a change that is forgotten: what came after an older version
     /// can't be told.
-    forgotten: StoreVersion,
+    forgotten_version: StoreVersion,
 }
 
 /// How long an entry that went away is remembered.
-pub const GONE_MEMORY: Duration = Duration::from_secs(60);
+pub const GONE_RETENTION: Duration = Duration::from_secs(60);
 
 impl Directory {
     /// The members of `group`, in no order, gone ones included.
@@ -203,7 +203,7 @@
 
     /// Whether the server of `member` has started again: what answers there now is a later
     /// life, which holds nothing of what this one held.
-    pub fn has_ended(&self, member: &Member) -> bool {
+    pub fn has_restarted(&self, member: &Member) -> bool {
         let group = self.groups.get(&member.group);
         let mut others = group.into_iter().flatten();
         others.any(|other| other.has_entry() && are_lives_of_one(&member.id, &other.id))
@@ -216,10 +216,10 @@
 
     /// The members that have changed after `version`; `None` where some of these changes
     /// are forgotten.
-    pub fn changed_after(&self, version: u64) -> Option<impl Iterator<Item = &Arc<Member>>> {
+    pub fn changes_since(&self, version: u64) -> Option<impl Iterator<Item = &Arc<Member>>> {
         let members = self.members.values();
         let changed = members.filter(move |member| member.changed > version);
-        (version >= self.forgotten).then_some(changed)
+        (version >= self.forgotten_version).then_some(changed)
     }
 
     /// The groups that have members.
@@ -229,7 +229,7 @@
 
     /// The groups that have members, sorted.
     pub fn group_names(&self) -> &Arc<[GroupName]> {
-        &self.names
+        &self.sorted_groups
     }
 
     /// Whether `group` has members.
@@ -244,7 +244,7 @@
             let group = self.groups.entry(member.group.clone()).or_default();
             group.push(Arc::clone(member));
         }
-        self.names = self.groups.keys().cloned().collect();
+        self.sorted_groups = self.groups.keys().cloned().collect();
         self
     }
 
@@ -269,16 +269,18 @@
     pub fn with_entries(&self, version: u64, present: Vec<Member>, departure: Departure) -> Self {
         let mut next = Self {
             version: self.version,
-            forgotten: self.forgotten,
+            forgotten_version: self.forgotten_version,
             ..Self::default()
         };
         let restored = era_of(version) > era_of(self.version);
         for member in present {
-            next.insert(self.dated(self.keep_since(member, restored), version));
+            next.insert(
+                self.with_change_version(self.with_kept_departure(member, restored), version),
+            );
         }
         for (id, member) in &self.members {
             if !next.members.contains_key(id) {
-                next.insert_gone(member, departure, version);
+                next.record_gone(member, departure, version);
             }
         }
         next.regrouped()
@@ -295,16 +297,18 @@
         for change in changes {
             match change {
                 DirectoryChange::Present(member) => {
-                    next.insert(self.dated(self.keep_since(member, false), version));
+                    next.insert(
+                        self.with_change_version(self.with_kept_departure(member, false), version),
+                    );
                 }
                 DirectoryChange::Gone { id, changed } => {
                     if let Some(member) = self.members.get(&id) {
-                        next.insert_gone(member, departure, changed);
+                        next.record_gone(member, departure, changed);
                     }
                 }
             }
         }
-        next.forget_long_gone(departure.learned);
+        next.remove_expired_gone(departure.learned_at);
         next.regrouped()
     }
 
@@ -312,10 +316,10 @@
     pub fn merged_with(&self, version: u64, changed: Vec<Member>, now: Instant) -> Self {
         let mut next = self.clone();
         for member in changed {
-            next.insert(self.keep_since(member, false));
+            next.insert(self.with_kept_departure(member, false));
         }
         next.version = next.version.max(version);
-        next.forget_long_gone(now);
+        next.remove_expired_gone(now);
         next.regrouped()
     }
 
@@ -327,10 +331,10 @@
 
     /// The member with the version of its last change: the one that it tells, if that is a
     /// change; else that of the known one, or `read` where it differs from that.
-    fn dated(&self, member: Member, read: u64) -> Member {
+    fn with_change_version(&self, member: Member, read: u64) -> Member {
         let known = self.members.get(&member.id);
         let before = known.map_or(0, |known| known.changed);
-        let same = known.is_some_and(|known| known.is_like(&member));
+        let same = known.is_some_and(|known| known.same_except_version(&member));
         let changed = match same {
             true => before,
             false if member.changed > before => member.changed,
@@ -340,27 +344,27 @@
     }
 
     /// Drops a member that nobody waits for any more.
-    fn forget(&mut self, id: &str) {
-        let forgotten = self.members.remove(id);
-        let changed = forgotten.map_or(0, |member| member.changed);
-        self.forgotten = self.forgotten.max(changed);
+    fn remove(&mut self, id: &str) {
+        let removed = self.members.remove(id);
+        let changed = removed.map_or(0, |member| member.changed);
+        self.forgotten_version = self.forgotten_version.max(changed);
     }
 
     /// Drops members whose entries went away so long ago that nobody waits for them.
-    fn forget_long_gone(&mut self, now: Instant) {
+    fn remove_expired_gone(&mut self, now: Instant) {
         let is_past = |member: &Member| match member.state {
-            MemberState::Gone(known) => now.duration_since(known.learned) > GONE_MEMORY,
+            MemberState::Gone(known) => now.duration_since(known.learned_at) > GONE_RETENTION,
             _ => false,
         };
         let members = self.members.values();
         let past = members.filter(|member| is_past(member));
         let past: Vec<MemberId> = past.map(|member| member.id.clone()).collect();
-        past.iter().for_each(|id| self.forget(id));
+        past.iter().for_each(|id| self.remove(id));
     }
 
     /// A member that was leaving already has been so since then: where the store was `restored`
     /// from a copy, whatever that says.
-    fn keep_since(&self, mut member: Member, restored: bool) -> Member {
+    fn with_kept_departure(&self, mut member: Member, restored: bool) -> Member {
         let before = self.members.get(&member.id).map(|known| known.state);
         let leaves = matches!(member.state, MemberState::Leaving(_));
         if let Some(known @ MemberState::Leaving(_)) = before
@@ -381,7 +385,7 @@
 
     /// The directory without the lapses that have lasted too long by `now`: those members
     /// have gone. `None` where there are none.
-    pub fn after_lapses(&self, now: Instant) -> Option<Self> {
+    pub fn without_expired_lapses(&self, now: Instant) -> Option<Self> {
         let over = |member: &&Arc<Member>| match member.state {
             MemberState::Lapsed(departure) => !departure.is_lapse(now),
             _ => false,
@@ -393,14 +397,14 @@
         let mut next = self.clone();
         for member in over {
             // The change was told already; that nothing came of it is noticed by everybody.
-            next.insert_gone(&member, Departure::at(now), member.changed);
+            next.record_gone(&member, Departure::at(now), member.changed);
         }
         Some(next.regrouped())
     }
 
     /// Takes it that the entry of `member` went away with the version `changed`.
-    fn insert_gone(&mut self, member: &Arc<Member>, departure: Departure, changed: u64) {
-        let now = departure.learned;
+    fn record_gone(&mut self, member: &Arc<Member>, departure: Departure, changed: u64) {
+        let now = departure.learned_at;
         let departure = match member.state {
             MemberState::Gone(known) | MemberState::Leaving(known) => known,
             MemberState::Lapsed(known) if known.is_lapse(now) => known,
@@ -424,9 +428,9 @@
             self.insert(lapsed);
             return;
         }
-        if now.duration_since(departure.learned) > GONE_MEMORY {
+        if now.duration_since(departure.learned_at) > GONE_RETENTION {
             self.members.remove(&member.id);
-            self.forgotten = self.forgotten.max(changed);
+            self.forgotten_version = self.forgotten_version.max(changed);
             return;
         }
         let gone = Member {
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -349,7 +349,7 @@
 
     /// Takes members for gone whose entries have lapsed for too long.
     pub fn end_lapses(&self) {
-        if let Some(next) = self.directory().after_lapses(Instant::now()) {
+        if let Some(next) = self.directory().without_expired_lapses(Instant::now()) {
             self.set_directory(next);
         }
     }
@@ -357,7 +357,7 @@
     /// Takes `members` into the directory, those of them whose entries it does not know.
     pub fn remember_members(&self, members: Vec<Member>) {
         self.directory.send_if_modified(|directory| {
-            let next = directory.remembering(members);
+            let next = directory.with_unknown(members);
             let changed = next.is_some();
             if let Some(next) = next {
                 *directory = Arc::new(next);
@@ -581,7 +581,7 @@
         let pool = MemberPool::new(Arc::clone(member), Arc::clone(&self.back_end));
         let pool = Arc::new(pool.with_gate(self.gate(member, Sender::Home)));
         pool.set_limit(self.connection_share(member));
-        if self.directory().has_ended(member) {
+        if self.directory().has_restarted(member) {
             pool.retire();
         }
         pools.insert(member.id.clone(), Arc::clone(&pool));
@@ -655,7 +655,7 @@
             if !known {
                 pool.close();
                 telemetry::forget_member(id);
-            } else if directory.has_ended(pool.member()) {
+            } else if directory.has_restarted(pool.member()) {
                 pool.retire();
             }
             known
--- a/crates/engine/src/leadership/choice.rs
+++ b/crates/engine/src/leadership/choice.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whether `member` is a later life of the old leader's server.
-    fn has_ended(&self, member: &Member) -> bool {
+    fn has_restarted(&self, member: &Member) -> bool {
         let id = self.id.as_ref();
         id.is_some_and(|id| are_lives_of_one(id, &member.id))
     }
@@ -113,7 +113,7 @@
     /// started again and holds nothing of before.
     fn demoted_log(&self) -> Option<LogPosition> {
         let old = self.members.iter().filter(|m| self.is_previous(m));
-        let old = old.filter(|member| !self.previous.has_ended(&member.member));
+        let old = old.filter(|member| !self.previous.has_restarted(&member.member));
         let mut reports = old.filter_map(|member| member.response.report());
         let report = reports.next()?;
         let is_whole = report.received.number > 0
--- a/crates/engine/src/leadership/roster.rs
+++ b/crates/engine/src/leadership/roster.rs
@@ -196,7 +196,7 @@
 /// Takes members whose entries are not there for gone, from now on.
 fn remember(engine: &Engine, group: &GroupName, roster: Roster) {
     let departure = Departure {
-        learned: Instant::now(),
+        learned_at: Instant::now(),
         earliest: None,
         lapsed_until: None,
     };
--- a/crates/engine/src/leadership/survey.rs
+++ b/crates/engine/src/leadership/survey.rs
@@ -60,7 +60,7 @@
         };
         match self.response {
             Response::Ended => true,
-            Response::Down(_) => now.duration_since(departure.learned) > GONE_WAIT,
+            Response::Down(_) => now.duration_since(departure.learned_at) > GONE_WAIT,
             _ => false,
         }
     }
@@ -74,7 +74,7 @@
 
 /// Gives `control` to one member.
 pub async fn order(engine: &Engine, member: &Arc<Member>, control: Control) -> Response {
-    if engine.directory().has_ended(member) {
+    if engine.directory().has_restarted(member) {
         return Response::Ended;
     }
     let pool = engine.pool(member);
--- a/crates/engine/src/leadership/suspicion.rs
+++ b/crates/engine/src/leadership/suspicion.rs
@@ -73,8 +73,8 @@
     match leader.state {
         MemberState::Leaving(_) => return Some(Suspicion::Leaving),
         MemberState::Gone(gone)
-            if now.duration_since(gone.learned) > GONE_GRACE
-                || engine.directory().has_ended(leader) =>
+            if now.duration_since(gone.learned_at) > GONE_GRACE
+                || engine.directory().has_restarted(leader) =>
         {
             return Some(Suspicion::EntryGone);
         }
--- a/crates/engine/src/peers/declared.rs
+++ b/crates/engine/src/peers/declared.rs
@@ -76,7 +76,7 @@
 /// What has changed in `directory` after the version `known`: the whole of it where that can
 /// no longer be told.
 fn declare(directory: &Directory, known: u64, now: Instant) -> DeclaredDirectory {
-    let (extent, members) = match directory.changed_after(known) {
+    let (extent, members) = match directory.changes_since(known) {
         Some(changed) => (
             DeclaredExtent::Changes,
             changed.map(|member| declare_member(member, now)).collect(),
@@ -102,7 +102,7 @@
     let departure = |gone: bool, departure: Departure| DeclaredDeparture {
         gone,
         lapsed_left_ms: departure.lapsed_until.map(left_ms),
-        learned_age_ms: age_ms(departure.learned),
+        learned_age_ms: age_ms(departure.learned_at),
         earliest_age_ms: departure.earliest.map(age_ms),
     };
     DeclaredMember {
@@ -170,9 +170,9 @@
     let directory = engine.directory();
     let next = match declared.extent {
         DeclaredExtent::Whole => {
-            directory.replaced(declared.version, members, Departure::at(asked))
+            directory.with_entries(declared.version, members, Departure::at(asked))
         }
-        DeclaredExtent::Changes => directory.merged(declared.version, members, asked),
+        DeclaredExtent::Changes => directory.merged_with(declared.version, members, asked),
     };
     engine.set_directory(next);
 }
@@ -220,7 +220,7 @@
 fn read_departure(declared: DeclaredDeparture, asked: Instant) -> MemberState {
     let before = |age_ms: u64| asked.checked_sub(Duration::from_millis(age_ms));
     let departure = Departure {
-        learned: before(declared.learned_age_ms).unwrap_or(asked),
+        learned_at: before(declared.learned_age_ms).unwrap_or(asked),
         earliest: declared.earliest_age_ms.and_then(before),
         lapsed_until: declared
             .lapsed_left_ms
--- a/crates/engine/src/residency.rs
+++ b/crates/engine/src/residency.rs
@@ -55,7 +55,7 @@
     }
 
     /// The regions that both allow, which may be none at all.
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersection(&self, other: &Self) -> Self {
         let regions = match (&self.regions, &other.regions) {
             (Some(own), Some(others)) => {
                 Some(Arc::new(own.intersection(others).cloned().collect()))
@@ -72,10 +72,10 @@
     /// use stilequay_engine::residency::Residency;
     /// let north = Residency::in_regions(["north".into()]);
     /// let both = Residency::in_regions(["north".into(), "west".into()]);
-    /// assert!(both.includes(&north) && !north.includes(&both));
-    /// assert!(Residency::ANYWHERE.includes(&both) && !both.includes(&Residency::ANYWHERE));
+    /// assert!(both.is_superset_of(&north) && !north.is_superset_of(&both));
+    /// assert!(Residency::ANYWHERE.is_superset_of(&both) && !both.is_superset_of(&Residency::ANYWHERE));
     /// ```
-    pub fn includes(&self, other: &Self) -> bool {
+    pub fn is_superset_of(&self, other: &Self) -> bool {
         match (&self.regions, &other.regions) {
             (None, _) => true,
             (Some(_), None) => false,
@@ -84,7 +84,7 @@
     }
 
     /// `place`, if it stands where statements may run or pass.
-    pub fn admit<T: Placed>(&self, topology: &Topology, place: T) -> Option<Allowed<T>> {
+    pub fn admit<T: Zoned>(&self, topology: &Topology, place: T) -> Option<Allowed<T>> {
         let region = || topology.region_of(place.zone()).map(AsRef::as_ref);
         let allowed = self.is_anywhere() || self.allows(region());
         allowed.then(|| Allowed {
@@ -94,7 +94,7 @@
     }
 
     /// Those of `places` that stand where statements may run or pass, in their order.
-    pub fn select<T: Placed>(
+    pub fn select<T: Zoned>(
         &self,
         topology: &Topology,
         places: impl IntoIterator<Item = T>,
@@ -112,30 +112,30 @@
 }
 
 /// What stands in a zone.
-pub trait Placed {
+pub trait Zoned {
     /// The zone.
     fn zone(&self) -> &str;
 }
 
-impl Placed for Member {
+impl Zoned for Member {
     fn zone(&self) -> &str {
         &self.zone
     }
 }
 
-impl Placed for Peer {
+impl Zoned for Peer {
     fn zone(&self) -> &str {
         &self.zone
     }
 }
 
-impl<T: Placed> Placed for &T {
+impl<T: Zoned> Zoned for &T {
     fn zone(&self) -> &str {
         (**self).zone()
     }
 }
 
-impl<T: Placed> Placed for Arc<T> {
+impl<T: Zoned> Zoned for Arc<T> {
     fn zone(&self) -> &str {
         (**self).zone()
     }
--- a/crates/engine/src/session/target.rs
+++ b/crates/engine/src/session/target.rs
@@ -94,7 +94,7 @@
     chosen: &Residency,
     now: &Residency,
 ) -> bool {
-    if now.includes(chosen) {
+    if now.is_superset_of(chosen) {
         return true;
     }
     let topology = &engine.settings().topology;
@@ -193,6 +193,6 @@
             return route.clone();
         };
         let newest = configuration.and_then(|c| c.tenants.get(&tenant.name));
-        route.and(&newest.unwrap_or(tenant).residency)
+        route.intersection(&newest.unwrap_or(tenant).residency)
     }
 }
--- a/crates/engine/tests/departures.rs
+++ b/crates/engine/tests/departures.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use stilequay_engine::directory::{
-    Departure, Directory, DirectoryChange, GONE_MEMORY, Member, MemberState,
+    Departure, Directory, DirectoryChange, GONE_RETENTION, Member, MemberState,
 };
 use stilequay_engine::routing::is_past_use;
 use support::Fleet;
@@ -32,7 +32,7 @@
     let before = Instant::now();
     advance(Duration::from_millis(unseen_ms.unwrap_or(0))).await;
     let departure = Departure {
-        learned: Instant::now(),
+        learned_at: Instant::now(),
         earliest: unseen_ms.map(|_| before),
         lapsed_until: None,
     };
@@ -66,20 +66,20 @@
 async fn a_departure_keeps_its_age() {
     let first = Departure::at(Instant::now());
     let leaving = member(MemberState::Leaving(first));
-    let directory = Directory::default().replaced(1, vec![leaving], first);
+    let directory = Directory::default().with_entries(1, vec![leaving], first);
     advance(Duration::from_secs(1)).await;
     let later = Departure::at(Instant::now());
     let again = DirectoryChange::Present(member(MemberState::Leaving(later)));
-    let directory = directory.updated(2, vec![again], later);
+    let directory = directory.with_changes(2, vec![again], later);
     let state = |directory: &Directory| directory.member("a").map(|member| member.state);
     assert_eq!(state(&directory), Some(MemberState::Leaving(first)));
     let gone = DirectoryChange::Gone {
         id: Arc::from("a"),
         changed: 2,
     };
-    let updated = directory.updated(3, vec![gone], later);
+    let updated = directory.with_changes(3, vec![gone], later);
     assert_eq!(state(&updated), Some(MemberState::Gone(first)));
-    let replaced = directory.replaced(3, Vec::new(), later);
+    let replaced = directory.with_entries(3, Vec::new(), later);
     assert_eq!(state(&replaced), Some(MemberState::Gone(first)));
 }
 
@@ -87,17 +87,17 @@
 #[tokio::test(start_paused = true)]
 async fn what_has_gone_long_ago_is_forgotten_with_the_next_change() {
     let now = Departure::at(Instant::now());
-    let directory = Directory::default().replaced(1, vec![member(MemberState::Ready)], now);
+    let directory = Directory::default().with_entries(1, vec![member(MemberState::Ready)], now);
     let gone = DirectoryChange::Gone {
         id: Arc::from("a"),
         changed: 2,
     };
-    let directory = directory.updated(2, vec![gone], now);
-    advance(GONE_MEMORY).await;
-    let directory = directory.updated(3, Vec::new(), Departure::at(Instant::now()));
+    let directory = directory.with_changes(2, vec![gone], now);
+    advance(GONE_RETENTION).await;
+    let directory = directory.with_changes(3, Vec::new(), Departure::at(Instant::now()));
     assert!(directory.member("a").is_some());
     advance(Duration::from_secs(1)).await;
-    let directory = directory.updated(4, Vec::new(), Departure::at(Instant::now()));
+    let directory = directory.with_changes(4, Vec::new(), Departure::at(Instant::now()));
     assert!(directory.member("a").is_none());
 }
 
@@ -130,11 +130,11 @@
     let fleet = Fleet::start(1).await;
     let engine = &fleet.nodes[0].engine;
     let start = Departure::at(Instant::now());
-    let directory = Directory::default().replaced(1, vec![member(MemberState::Ready)], start);
+    let directory = Directory::default().with_entries(1, vec![member(MemberState::Ready)], start);
     let returned = Instant::now();
     advance(Duration::from_millis(back_for_ms.unwrap_or(0))).await;
     let departure = Departure::at(Instant::now()).lapsing(back_for_ms.map(|_| returned));
-    let mut directory = directory.replaced(2, Vec::new(), departure);
+    let mut directory = directory.with_entries(2, Vec::new(), departure);
     let lapsed = directory.member("a").map(|member| member.state);
     if lapsed.is_some_and(|state| state.takes_work()) {
         // It is used as before, starts no promotion and dates no departure.
@@ -153,9 +153,9 @@
     };
     if let Some(present) = present {
         let departure = Departure::at(now).lapsing(Some(returned));
-        directory = directory.replaced(3, vec![present], departure);
+        directory = directory.with_entries(3, vec![present], departure);
     }
-    let directory = directory.after_lapses(now).unwrap_or(directory);
+    let directory = directory.without_expired_lapses(now).unwrap_or(directory);
     assert_eq!(directory.member("a").expect("one").state.name(), expected);
 }
 
@@ -172,7 +172,7 @@
     let present = entries.filter(|member| &*member.id != "c");
     let version = engines[1].directory().version + 1_000_000;
     let directory = engines[0].directory();
-    engines[0].set_directory(directory.replaced(version, present.collect(), departure));
+    engines[0].set_directory(directory.with_entries(version, present.collect(), departure));
     fleet.world.hidden.lock().unwrap().insert("c".to_owned());
     stilequay_engine::peers::declared::ask(engines[1]).await;
     let state = engines[1]
--- a/crates/engine/tests/homes.rs
+++ b/crates/engine/tests/homes.rs
@@ -231,7 +231,7 @@
         ..leader.clone()
     });
     let now = Departure::at(Instant::now());
-    let directory = Directory::default().replaced(u64::MAX, leaders.collect(), now);
+    let directory = Directory::default().with_entries(u64::MAX, leaders.collect(), now);
     let names = directory.group_names().clone();
     fleet.nodes[0].abort();
     engine.set_directory(directory);
--- a/crates/engine/tests/peers.rs
+++ b/crates/engine/tests/peers.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use stilequay_engine::configuration::Route;
 use stilequay_engine::directory::{
-    Departure, Directory, DirectoryChange, GONE_MEMORY, Member, MemberState,
+    Departure, Directory, DirectoryChange, GONE_RETENTION, Member, MemberState,
 };
 use stilequay_engine::leadership::record::{TermPhase, TermRecord};
 use stilequay_engine::peers::{TcpPeers, ask, declared, serve};
@@ -172,7 +172,7 @@
     assert!(knowing.set_configuration(newer.clone()));
     let now = Instant::now();
     let leaving = Departure {
-        learned: now,
+        learned_at: now,
         earliest: now.checked_sub(Duration::from_millis(700)),
         lapsed_until: None,
     };
@@ -181,7 +181,7 @@
     let known = || cut.directory().member("c").map(|member| member.state);
     let entries = fleet.world.entries();
     let version = cut.directory().version + 1_000_000;
-    knowing.set_directory(knowing.directory().replaced(version, entries, leaving));
+    knowing.set_directory(knowing.directory().with_entries(version, entries, leaving));
     declared::ask(cut).await;
     assert_eq!(cut.configuration().as_deref(), Some(&newer));
     assert_eq!(cut.directory().version, version);
@@ -219,7 +219,7 @@
     let version = known.directory + 1_000_000;
     let next = engine
         .directory()
-        .replaced(version, entries, Departure::at(now));
+        .with_entries(version, entries, Departure::at(now));
     engine.set_directory(next);
     let told = declared::newer(engine, known, Instant::now());
     let Some(DeclaredConfiguration::Changes(changes)) = told.configuration else {
@@ -246,7 +246,7 @@
     ));
     assert_eq!(told.directory.expect("members").members.len(), 3);
     let gone = engine.directory();
-    let gone = gone.updated(
+    let gone = gone.with_changes(
         version + 1,
         vec![DirectoryChange::Gone {
             id: Arc::from("c"),
@@ -254,10 +254,10 @@
         }],
         Departure::at(now),
     );
-    sleep(GONE_MEMORY * 2).await;
-    let forgotten = gone.updated(version + 2, Vec::new(), Departure::at(Instant::now()));
-    assert!(forgotten.changed_after(known.directory).is_none());
-    assert!(forgotten.changed_after(version + 1).is_some());
+    sleep(GONE_RETENTION * 2).await;
+    let forgotten = gone.with_changes(version + 2, Vec::new(), Departure::at(Instant::now()));
+    assert!(forgotten.changes_since(known.directory).is_none());
+    assert!(forgotten.changes_since(version + 1).is_some());
 }
 
 /// The store's version rises with every write in it. Who has read all entries anew tells
@@ -270,22 +270,22 @@
         let entries = fleet.world.entries().into_iter();
         entries.map(|member| Member { changed, ..member }).collect()
     };
-    let followed = Directory::default().replaced(40, entries(40), now);
-    let read_anew = Directory::default().replaced(900, entries(40), now);
+    let followed = Directory::default().with_entries(40, entries(40), now);
+    let read_anew = Directory::default().with_entries(900, entries(40), now);
     assert_eq!((followed.version, read_anew.version), (40, 40));
-    let later = read_anew.replaced(950, entries(40), now);
+    let later = read_anew.with_entries(950, entries(40), now);
     assert_eq!(later.version, 40);
     // What is missing is a change, as of the reading.
     let [first, rest @ ..] = &entries(40)[..] else {
         panic!("no entries");
     };
-    let without = later.replaced(960, rest.to_vec(), now);
+    let without = later.with_entries(960, rest.to_vec(), now);
     assert_eq!(without.version, 960);
-    let changed = without.changed_after(40).expect("all changes");
+    let changed = without.changes_since(40).expect("all changes");
     let changed: Vec<&str> = changed.map(|member| &*member.id).collect();
     assert_eq!(changed, [&*first.id]);
     // And so is an entry that differs, whatever version it tells.
     let mut slower = entries(40);
     slower[1].slots = 1;
-    assert_eq!(later.replaced(970, slower, now).version, 970);
+    assert_eq!(later.with_entries(970, slower, now).version, 970);
 }
--- a/crates/engine/tests/pool.rs
+++ b/crates/engine/tests/pool.rs
@@ -46,7 +46,7 @@
         opened: Default::default(),
     });
     let directory =
-        Directory::default().replaced(1, world.entries(), Departure::at(Instant::now()));
+        Directory::default().with_entries(1, world.entries(), Departure::at(Instant::now()));
     let member = directory.member("a").expect("a member").clone();
     let pool = Arc::new(MemberPool::new(member, back_end.clone()));
     (world, back_end, pool)
--- a/crates/engine/tests/restored_store.rs
+++ b/crates/engine/tests/restored_store.rs
@@ -152,11 +152,11 @@
     let now = Instant::now();
     let departure = Departure::at(now);
     let known = stilequay_engine::directory::Directory::default();
-    let known = known.replaced(version(1, 4), world.entries(), departure);
+    let known = known.with_entries(version(1, 4), world.entries(), departure);
     world.change("b", |server| server.state = MemberState::Leaving(departure));
-    let known = known.replaced(version(1, 5), world.entries(), departure);
+    let known = known.with_entries(version(1, 5), world.entries(), departure);
     world.change("b", |server| server.state = MemberState::Ready);
-    let restored = known.replaced(version(2, 4), world.entries(), departure);
+    let restored = known.with_entries(version(2, 4), world.entries(), departure);
     let state = restored.member("b").expect("a member").state;
     assert_eq!(state, MemberState::Leaving(departure));
 }
--- a/crates/engine/tests/server_lives.rs
+++ b/crates/engine/tests/server_lives.rs
@@ -32,7 +32,7 @@
 }
 
 fn known(world: &World) -> Directory {
-    Directory::default().replaced(1, world.entries(), Departure::at(Instant::now()))
+    Directory::default().with_entries(1, world.entries(), Departure::at(Instant::now()))
 }
 
 #[test]
@@ -50,9 +50,9 @@
         changed: 2,
     };
     let changes = next.chain([ended]).collect();
-    let after = before.updated(2, changes, Departure::at(Instant::now()));
-    assert!(!before.has_ended(&first));
-    assert!(after.has_ended(&first));
+    let after = before.with_changes(2, changes, Departure::at(Instant::now()));
+    assert!(!before.has_restarted(&first));
+    assert!(after.has_restarted(&first));
     assert!(after.member("a@1").is_some_and(|member| member.is_gone()));
     // It says that it leads, and is not taken for the leader that it was.
     let acting = after.acting_member(GROUP, "a@1", Some(first.address));
@@ -159,7 +159,7 @@
     let life = Arc::clone(engine.directory().member("b@1").expect("a member"));
     let pool = engine.pool(&life);
     fleet.world.start_anew("b");
-    until(|| engine.directory().has_ended(&life)).await;
+    until(|| engine.directory().has_restarted(&life)).await;
     let order = pool.control(stilequay_engine::ports::Control::Status).await;
     assert!(order.is_err(), "{order:?}");
     assert!(matches!(
--- a/crates/engine/tests/simulation.rs
+++ b/crates/engine/tests/simulation.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use stilequay_engine::directory::{Departure, GONE_MEMORY, MemberState};
+use stilequay_engine::directory::{Departure, GONE_RETENTION, MemberState};
 use support::history::History;
 use support::records::Fault;
 use support::{Fleet, until};
@@ -329,7 +329,7 @@
     sleep(Duration::from_secs(2)).await;
     fleet.world.hidden.lock().unwrap().insert("c".to_owned());
     // The entry is forgotten, as one that went away long ago is.
-    sleep(GONE_MEMORY + Duration::from_secs(10)).await;
+    sleep(GONE_RETENTION + Duration::from_secs(10)).await;
     fleet.world.crash("a");
     sleep(Duration::from_secs(10)).await;
     assert!(fleet.world.promotions().is_empty());
--- a/crates/engine/tests/support/mod.rs
+++ b/crates/engine/tests/support/mod.rs
@@ -272,7 +272,7 @@
     }
 
     pub fn directory(&self) -> Directory {
-        Directory::default().replaced(1, self.world.entries(), Departure::at(Instant::now()))
+        Directory::default().with_entries(1, self.world.entries(), Departure::at(Instant::now()))
     }
 
     /// Lets a process stand still, or go on.
@@ -366,10 +366,11 @@
             engine.following().prove_configuration(now);
         }
         engine.following().heard(Feed::Directory, now, version);
-        let next =
-            engine
-                .directory()
-                .replaced(version, world.entries(), Departure::at(Instant::now()));
+        let next = engine.directory().with_entries(
+            version,
+            world.entries(),
+            Departure::at(Instant::now()),
+        );
         engine.set_directory(next);
     }
 }
