--- a/crates/engine/src/pool/acquire_request.rs
+++ b/crates/engine/src/pool/acquire_request.rs
@@ -1,4 +1,4 @@
-//! For whom a connection is used.
+//! Request for a connection from a pool.
 
 use super::connection::SessionValues;
 use crate::names::{DatabaseName, TenantName};
@@ -7,29 +7,29 @@
 use stilequay_coordination::limit::TenantLimits;
 use tokio::time::Instant;
 
-/// Requests of one database that wait, at the most.
+/// Maximum number of waiting requests per database.
 const DATABASE_QUEUE_LENGTH: usize = 256;
-/// Longest wait: each request has a deadline of its own before.
+/// Upper bound of the wait in the queue. Every request has an earlier deadline of its own.
 pub(super) const QUEUE_TIME: Duration = Duration::from_secs(60);
 
-/// For whom a connection is used.
+/// What a connection is needed for, and how long the request may wait for it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AcquireRequest {
-    /// The database that its session is for: connections are shared fairly between these.
+    /// Database of the session. Connections are shared fairly between databases.
     pub database: DatabaseName,
-    /// On whose behalf it is used: a connection serves one tenant for its life. `None` where
-    /// any connection will do.
+    /// Tenant on whose behalf the connection is used. A connection serves one tenant for its
+    /// whole life; `None` accepts a connection of any tenant.
     pub tenant: Option<TenantName>,
-    /// Rank of its route, 0 the highest: it goes before all of a lower rank.
+    /// Priority rank of the route, 0 being the highest. It is served before all lower ranks.
     pub rank: u32,
-    /// Values to find in place, if possible.
+    /// Session values that the connection should preferably have set already.
     pub values: SessionValues,
-    /// How long it may wait in a queue that stands.
+    /// Longest wait while the queue is a standing queue; see [`QueueDelay`](super::QueueDelay).
     pub patience: Duration,
 }
 
 impl AcquireRequest {
-    /// A claim of the engine's own, for orders and questions.
+    /// A request of the engine itself, for control commands and status queries.
     pub fn internal() -> Self {
         Self {
             database: DatabaseName::from(""),
--- a/crates/engine/src/pool/concurrency.rs
+++ b/crates/engine/src/pool/concurrency.rs
@@ -1,33 +1,34 @@
-//! How many connections to one member are used at a time, by how long it takes to answer.
+//! Adaptive limit on the number of connections to one member that are in use, driven by latency.
 //!
-//! A member runs a few statements at a time and lets others wait. Statements that wait
-//! there can't be put in order any more, and all of them come late. So the number in use
-//! shrinks while answers take clearly longer than they did when the member was least
-//! loaded, and grows again while requests wait here and answers are quick: additive
-//! increase, multiplicative decrease.
+//! A member runs a few statements at a time and queues the rest. Statements queued at the
+//! member can no longer be prioritized, and all of them are late. The limit therefore
+//! decreases while latency is clearly above its recent minimum, and increases while requests
+//! wait in the pool and latency is low: additive increase, multiplicative decrease (AIMD).
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Fewest connections in use: one can rest inside a transaction.
+/// Lower bound of the limit: one connection can be idle inside a transaction.
 const MIN_LIMIT: f64 = 2.0;
-/// The same as a share of what is allowed: of many, more can rest.
+/// Lower bound of the limit as a fraction of the ceiling: of many connections, more can be
+/// idle inside transactions.
 const MIN_LIMIT_SHARE: f64 = 0.25;
-/// Weight of the newest answer in the mean time to answer.
+/// Weight of the newest sample in the exponentially weighted mean latency.
 const NEWEST_WEIGHT: f64 = 0.15;
-/// For how long the least mean is remembered, at least; at most twice as long.
+/// How long the minimum mean latency is remembered, at least; at most twice as long.
 const BASELINE_WINDOW: Duration = Duration::from_secs(8);
-/// Multiple of the least mean above which the member is taken to be crowded, and what is
-/// added to it, milliseconds.
+/// The member counts as overloaded when the mean exceeds this multiple of the minimum plus
+/// this offset in milliseconds.
 const DECREASE_FACTOR: f64 = 2.0;
 const DECREASE_OFFSET_MS: f64 = 10.0;
-/// Multiple of the least mean below which it has room, and what is added, milliseconds.
+/// The member has spare capacity when the mean is below this multiple of the minimum plus this
+/// offset in milliseconds.
 const INCREASE_FACTOR: f64 = 1.5;
 const INCREASE_OFFSET_MS: f64 = 5.0;
-/// What is left of the limit after a decrease.
+/// Factor applied to the limit by a decrease.
 const DECREASE_RATIO: f64 = 0.8;
 
-/// The limit on the connections in use.
+/// Limit on the connections to a member that are in use.
 #[derive(Debug, Clone)]
 pub struct ConcurrencyLimit {
     limit: f64,
@@ -40,7 +41,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// As many as `ceiling` allows.
+    /// Creates a limit that starts at `ceiling`.
     pub fn new(ceiling: usize, now: Instant) -> Self {
         Self {
             limit: ceiling as f64,
@@ -53,18 +54,18 @@
         }
     }
 
-    /// Connections that may be in use.
+    /// Number of connections that may be in use.
     pub fn limit(&self) -> usize {
-        // Between LEAST and the ceiling: it fits.
+        // At most the ceiling, so the conversion is lossless.
         (self.limit.floor() as usize).clamp(1, self.ceiling.max(1))
     }
 
-    /// What the limit may reach.
+    /// Upper bound of the limit.
     pub fn ceiling(&self) -> usize {
         self.ceiling
     }
 
-    /// Changes what the limit may reach.
+    /// Changes the upper bound. A limit that was at the old bound follows the new one.
     pub fn set_ceiling(&mut self, ceiling: usize) {
         let was_at_ceiling = self.limit >= self.ceiling as f64;
         self.ceiling = ceiling;
@@ -76,7 +77,7 @@
         };
     }
 
-    /// A statement was answered after `latency`; `waiting` says that others wait here.
+    /// Records the latency of a statement; `waiting` tells whether requests wait in the pool.
     pub fn record_latency(&mut self, latency: Duration, waiting: bool, now: Instant) {
         let latency_ms = latency.as_secs_f64() * 1000.0;
         let before = self.mean_ms.unwrap_or(latency_ms);
@@ -91,7 +92,8 @@
         }
     }
 
-    /// At most once in the time that answers take: before, they don't show the last one.
+    /// Decreases the limit at most once per mean latency: before that, latencies do not reflect
+    /// the previous decrease yet.
     fn decrease(&mut self, mean_ms: f64, now: Instant) {
         let min_interval = Duration::from_secs_f64(mean_ms / 1000.0);
         if now.duration_since(self.last_decrease) >= min_interval {
--- a/crates/engine/src/pool/connection.rs
+++ b/crates/engine/src/pool/connection.rs
@@ -1,4 +1,4 @@
-//! A connection, what sessions have left on it, and putting it into a session's state.
+//! A pooled connection, the session state that is set on it, and switching that state.
 
 use super::member::MemberPool;
 use super::set::PoolConnection;
@@ -17,25 +17,26 @@
 use tokio::time::{Instant, timeout};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Values that a session has set, by name.
+/// Session values (settings made with `SET`), by name.
 pub type SessionValues = Arc<BTreeMap<Bytes, Bytes>>;
 
-/// Prepared statements that a connection keeps before it is reset.
+/// Maximum number of prepared statements remembered per connection until it is reset. Beyond
+/// it a statement is prepared again each time it is executed.
 const PREPARED_LIMIT: usize = 256;
-/// Longest time for a rollback on a connection that is given up.
+/// Timeout of a rollback on an abandoned connection.
 const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A statement of a session, ready to run anywhere.
+/// A statement of a session that can run on any connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SessionStatement {
-    /// A text.
+    /// Statement text.
     Text {
-        /// The whole of it.
+        /// The complete text.
         text: Bytes,
-        /// Whether running it can change data.
+        /// Whether the statement can change data.
         access: Access,
     },
-    /// A prepared statement with its arguments.
+    /// A prepared statement and its arguments.
     Prepared {
         /// The statement.
         prepared: PreparedStatement,
@@ -45,21 +46,21 @@
 }
 
 quick_error! {
-    /// Work got no answer.
+    /// A statement got no answer.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum RunError {
-        /// The connection failed before the work was sent. Not run.
+        /// The connection failed before the statement was sent, so it was not run.
         BeforeSend(error: LinkError) {
             display("before the statement was sent: {error}")
         }
-        /// The connection failed after the work was sent. It may have run.
+        /// The connection failed after the statement was sent, so it may have run.
         AfterSend(error: LinkError) {
             display("after the statement was sent: {error}")
         }
     }
 }
 
-/// An open connection and what is in place on it.
+/// An open connection and the session state that is set on it.
 #[derive(Debug)]
 pub(super) struct Established {
     connection: Box<dyn BackEndConnection>,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Whether what is asked on behalf of `tenant` may go over it.
+    /// Whether the connection may be used on behalf of `tenant`.
     pub(super) fn serves(&self, tenant: Option<&TenantName>) -> bool {
         tenant.is_none() || self.tenant.as_ref() == tenant
     }
@@ -94,8 +95,8 @@
     }
 }
 
-/// A connection in use. Dropped, it goes back to its pool if nothing is unfinished on it,
-/// and is closed otherwise.
+/// A connection in use. When dropped, it returns to its pool if it has no unfinished work, and
+/// is closed otherwise.
 #[derive(Debug)]
 pub struct PooledConnection {
     pool: Arc<MemberPool>,
@@ -118,14 +119,14 @@
         }
     }
 
-    /// Tells the connection for whom it is used next.
+    /// Tells the connection on whose behalf it is used next.
     pub(super) fn admit(&mut self, admission: Admission) {
         if let Some(established) = &mut self.established {
             established.connection.admit(admission);
         }
     }
 
-    /// Waits until the next statement may be sent, where the member is cold.
+    /// Waits until the slow start limit of the member admits the next statement.
     pub(super) async fn pace(&mut self, until: Instant) -> Result<(), Duration> {
         match &mut self.established {
             Some(established) => established.connection.pace(until).await,
@@ -133,16 +134,17 @@
         }
     }
 
-    /// The pool that it belongs to.
+    /// The pool that the connection belongs to.
     pub fn pool(&self) -> &Arc<MemberPool> {
         &self.pool
     }
 
-    /// Puts exactly `values` in place.
+    /// Sets the session values to exactly `values`, resetting the session if any has to go.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] where the member did not do so: nothing of a session may run here.
+    /// [`LinkError`] if the member did not set them. No statement of the session may run on
+    /// this connection then.
     pub async fn apply_values(&mut self, values: &SessionValues) -> Result<(), LinkError> {
         let established = self.established()?;
         if established.has_values(values) {
@@ -167,12 +169,12 @@
         Ok(())
     }
 
-    /// Runs one command and takes note of the member's health.
+    /// Runs one command and records the outcome in the member's health.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] where the answer was not complete: the connection is not used again.
-    /// Also where nothing may be sent to the member.
+    /// [`LinkError`] if the answer was incomplete, after which the connection is not reused, or
+    /// if sending to the member is not permitted.
     pub async fn run(&mut self, command: &Command) -> Result<Answer, LinkError> {
         self.check_sending()?;
         self.pool.gate().count_sent();
@@ -190,7 +192,7 @@
                     self.pool.record_statement(latency);
                 }
             }
-            // The next statement may go through another home.
+            // The failure may be that of the home: the next statement may use another one.
             Err(_) if self.pool.is_remote() => {}
             Err(_) => self
                 .pool
@@ -204,11 +206,11 @@
         checked.map_err(|error| LinkError::Refused(error.to_string()))
     }
 
-    /// Carries out an order about replication.
+    /// Runs a replication control command.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] where there was no report: the connection is not used again.
+    /// [`LinkError`] if there was no report, after which the connection is not reused.
     pub async fn control(&mut self, control: Control) -> Result<MemberReport, LinkError> {
         self.is_reusable = false;
         let report = self.established()?.connection.control(control).await?;
@@ -216,11 +218,11 @@
         Ok(report)
     }
 
-    /// Runs a session's work, preparing its statement first where that is needed.
+    /// Runs a statement of a session, preparing it on this connection first if necessary.
     ///
     /// # Errors
     ///
-    /// [`RunError`] tells whether the work itself was sent.
+    /// [`RunError`] tells whether the statement itself was sent.
     pub async fn run_statement(
         &mut self,
         id: &RequestId,
@@ -241,8 +243,8 @@
         self.run(&command).await.map_err(RunError::AfterSend)
     }
 
-    /// Rolls an open transaction back in a task of its own, so that the connection can be
-    /// used again.
+    /// Rolls back the open transaction in a background task, so that the connection can be
+    /// reused.
     pub fn roll_back(mut self) {
         tokio::spawn(async move {
             let rolled_back = self.run(&Command::Rollback);
@@ -276,7 +278,7 @@
         }
     }
 
-    /// The name of `prepared` on this connection.
+    /// The name of `prepared` on this connection, on which it is prepared if necessary.
     async fn prepare(&mut self, prepared: &PreparedStatement) -> Result<Bytes, LinkError> {
         let name = prepared_name(prepared);
         let known = &mut self.established()?.prepared;
@@ -295,7 +297,7 @@
         Ok(name)
     }
 
-    /// Runs a command of the engine's own that has to succeed.
+    /// Runs an internal command that has to succeed.
     async fn complete(&mut self, command: &Command) -> Result<(), LinkError> {
         let answer = self.run(command).await?;
         match answer.outcome {
@@ -341,8 +343,8 @@
     matches!(&answer.outcome, Err(refusal) if refusal.kind == RefusalKind::UnknownPrepared)
 }
 
-/// A name made of the statement itself: sessions that prepared the same share it, and no
-/// two statements share one.
+/// A name derived from the statement's content: sessions that prepare the same statement share
+/// it, and different statements have different names.
 fn prepared_name(prepared: &PreparedStatement) -> Bytes {
     let mut content = Vec::with_capacity(prepared.shape.len() + 1);
     content.push(prepared.access as u8);
--- a/crates/engine/src/pool/error.rs
+++ b/crates/engine/src/pool/error.rs
@@ -1,4 +1,4 @@
-//! Why a connection could not be had, or an order not be given.
+//! Errors of acquiring a connection and of sending a control command.
 
 use crate::evacuation::MayNotSend;
 use crate::ports::{ConnectError, LinkError};
@@ -6,35 +6,36 @@
 use std::time::Duration;
 
 quick_error! {
-    /// No connection could be had. Nothing has been sent.
+    /// No connection could be acquired. Nothing was sent to the member.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum AcquireError {
-        /// All connections are in use, here or at the member.
+        /// All connections are in use, in this pool or at the member.
         Exhausted {
             display("no connection is free")
         }
-        /// Requests wait for so long that more of them would all be late.
+        /// The request was shed: requests already wait so long that any further one would miss
+        /// its deadline.
         Shed(retry_after: Duration) {
-            display("too many requests wait; to come back after {} ms", retry_after.as_millis())
+            display("too many requests are waiting; retry after {} ms", retry_after.as_millis())
         }
-        /// The member is cold, and takes no more for a while.
+        /// The member is in slow start and its statement limit is used up for now.
         SlowStart(retry_after: Duration) {
-            display("the member is cold; to come back after {} ms", retry_after.as_millis())
+            display("the member is in slow start; retry after {} ms", retry_after.as_millis())
         }
-        /// The member can't be reached.
+        /// The member cannot be reached.
         Unreachable(reason: String) {
             display("unreachable: {reason}")
         }
-        /// Another member listens at the address.
+        /// A different member listens at the address.
         WrongMember {
             display("another member listens there")
         }
-        /// Nothing may be sent to the member.
+        /// Sending to the member is not permitted, because its zone is or may be evacuated.
         MayNotSend(reason: MayNotSend) {
             display("{reason}")
             from()
         }
-        /// The home regions have changed while the request waited, and rule the member out.
+        /// The home regions changed while the request waited and now exclude the member.
         OutsideRegions {
             display("no longer in a home region")
         }
@@ -42,19 +43,19 @@
 }
 
 quick_error! {
-    /// An order was not carried out, as far as is known.
+    /// A control command failed, or its outcome is unknown.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ControlError {
         /// No connection could be opened.
         Connect(error: ConnectError) {
             display("{error}")
         }
-        /// All connections stayed in use.
+        /// The member accepts no further connection and none of the pool became free in time.
         Acquire(error: AcquireError) {
             display("{error}")
             from()
         }
-        /// There was no answer, or a refusal.
+        /// The member did not answer, or refused the command.
         Link(error: LinkError) {
             display("{error}")
             from()
--- a/crates/engine/src/pool/health.rs
+++ b/crates/engine/src/pool/health.rs
@@ -1,25 +1,25 @@
-//! What the traffic of this process has shown of a member.
+//! Health of a member as observed from the traffic of this process.
 
 use crate::position::LogPosition;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Latency assumed of a member of which nothing is known, milliseconds.
+/// Latency assumed of a member without samples, in milliseconds.
 const ASSUMED_LATENCY_MS: f64 = 15.0;
-/// Weight of the newest latency in the average.
+/// Weight of the newest sample in the exponentially weighted average.
 const NEWEST_WEIGHT: f64 = 0.15;
-/// Time in which half of a latency's excess is forgotten.
+/// Time in which the deviation from [`ASSUMED_LATENCY_MS`] decays by half.
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(2);
-/// First pause before a member that can't be reached is tried again.
+/// Initial backoff after a failure to reach the member.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(100);
-/// Longest such pause.
+/// Upper bound of the backoff, which doubles with each failure.
 const UNREACHABLE_PAUSE_MAX: Duration = Duration::from_millis(800);
-/// How long a member is passed over after its queue was full.
+/// How long a member is avoided after its queue was full.
 const BUSY_PAUSE: Duration = Duration::from_millis(60);
-/// How long a member is passed over, for what it lacked, after it was found lagging.
+/// How long a member is avoided for positions that it had not replayed.
 const LAGGING_PAUSE: Duration = Duration::from_millis(120);
 
-/// What is known of a member.
+/// What is known about a member's latency, reachability and replication position.
 #[derive(Debug, Clone)]
 pub struct MemberHealth {
     latency_ms: f64,
@@ -41,7 +41,7 @@
 }
 
 impl MemberHealth {
-    /// Nothing is known yet.
+    /// State of a member without observations.
     pub fn new(now: Instant) -> Self {
         Self {
             latency_ms: ASSUMED_LATENCY_MS,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// An answer came after `latency`.
+    /// Records an answer that took `latency`.
     pub fn record_answer(&mut self, latency: Duration, now: Instant) {
         let latency_ms = latency.as_secs_f64() * 1000.0;
         let before = self.expected_latency_ms(now);
@@ -65,36 +65,36 @@
         self.record_contact(now);
     }
 
-    /// When something was last heard of it.
+    /// When the member last sent anything.
     pub fn last_contact(&self) -> Option<Instant> {
         self.last_contact
     }
 
-    /// Something was heard of it.
+    /// Records that the member sent something.
     pub fn record_contact(&mut self, now: Instant) {
         self.last_contact = Some(now);
         self.unreachable = None;
         self.unanswered_since = None;
     }
 
-    /// Something was sent to it.
+    /// Records that something was sent to the member.
     pub fn record_sent(&mut self, now: Instant) {
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// Since when it has said nothing although something was sent to it.
+    /// Since when the member has sent nothing although a command is outstanding.
     pub fn unanswered_since(&self) -> Option<Instant> {
         self.unanswered_since
     }
 
-    /// A statement got no answer within `waited`.
+    /// Records that a statement got no answer within `waited`.
     pub fn record_timeout(&mut self, waited: Duration, now: Instant) {
         let waited_ms = waited.as_secs_f64() * 1000.0;
         self.latency_ms = self.expected_latency_ms(now).max(waited_ms * 0.5);
         self.measured_at = now;
     }
 
-    /// A connection could not be opened, or ended by itself.
+    /// Records that a connection could not be opened or was lost.
     pub fn record_unreachable(&mut self, now: Instant) {
         let (since, pause) = match self.unreachable {
             Some(known) => (known.since, (known.pause * 2).min(UNREACHABLE_PAUSE_MAX)),
@@ -108,54 +108,54 @@
         });
     }
 
-    /// Its queue was full.
+    /// Records that the member's queue was full.
     pub fn record_busy(&mut self, now: Instant) {
         self.busy_until = Some(now + BUSY_PAUSE);
     }
 
-    /// It is cold, and takes no more before `until`.
+    /// Records that the member is in slow start and accepts no further statement before `until`.
     pub fn record_slow_start(&mut self, until: Instant) {
         self.slow_start_until = Some(until);
     }
 
-    /// Its log lacked `position`.
+    /// Records that the member had not replayed `position` yet.
     pub fn record_lag(&mut self, position: LogPosition, now: Instant) {
         self.lacks = Some((position, now + LAGGING_PAUSE));
     }
 
-    /// Its log had come as far as `position`.
+    /// Records that the member has replayed the log up to `position`.
     pub fn record_applied(&mut self, position: LogPosition) {
         self.applied = self.applied.max(Some(position));
     }
 
-    /// Latency to expect of an unloaded statement, milliseconds.
+    /// Expected latency of a statement on the unloaded member, in milliseconds.
     pub fn expected_latency_ms(&self, now: Instant) -> f64 {
         let halves =
             now.duration_since(self.measured_at).as_secs_f64() / LATENCY_HALF_LIFE.as_secs_f64();
         ASSUMED_LATENCY_MS + (self.latency_ms - ASSUMED_LATENCY_MS) * 0.5_f64.powf(halves)
     }
 
-    /// Whether it is not to be tried yet.
+    /// Whether the backoff after a failure to reach the member is still running.
     pub fn is_unreachable(&self, now: Instant) -> bool {
         self.unreachable.is_some_and(|known| now < known.until)
     }
 
-    /// Since when it could not be reached, if the last try failed.
+    /// Since when the member has been unreachable, if the last attempt failed.
     pub fn unreachable_since(&self) -> Option<Instant> {
         self.unreachable.map(|known| known.since)
     }
 
-    /// Whether its queue was full a moment ago.
+    /// Whether the member's queue was full recently.
     pub fn is_busy(&self, now: Instant) -> bool {
         self.busy_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it is cold and takes no more yet.
+    /// Whether the member is in slow start and accepts no further statement yet.
     pub fn is_slow_start_exhausted(&self, now: Instant) -> bool {
         self.slow_start_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it lacked `position`, or an earlier one, a moment ago.
+    /// Whether the member recently lacked `position` or an earlier one.
     pub fn is_lagging(&self, position: LogPosition, now: Instant) -> bool {
         if self.applied.is_some_and(|applied| applied >= position) {
             return false;
--- a/crates/engine/src/pool/member.rs
+++ b/crates/engine/src/pool/member.rs
@@ -1,4 +1,4 @@
-//! The connections to one member.
+//! The connection pool of one member.
 
 use super::acquire_request::{AcquireRequest, QUEUE_TIME};
 use super::concurrency::ConcurrencyLimit;
@@ -20,31 +20,34 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 
-/// Connections to one member that are in use at a time, before the fleet is known.
+/// Limit on the connections to a member in use until the size of the fleet is known.
 const INITIAL_LIMIT: usize = 3;
-/// Statements of one process that go through a member's homes at a time: these bound them.
+/// Limit on the concurrent statements sent through a member's homes, which apply limits of
+/// their own.
 const REMOTE_LIMIT: usize = 256;
-/// Wait for a connection in use where a member accepts no other one.
+/// Longest wait of a control command for a pooled connection, if the member accepts no
+/// further one.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(200);
-/// Longest time in which a connection opens.
+/// Timeout for opening a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Pause before another connection is opened after the member's queue was full.
+/// Delay before another connection is opened after the member's queue was full.
 const BUSY_PAUSE: Duration = Duration::from_millis(60);
-/// How long a process holds no more connections than it does, after the member had too many:
-/// one is closed for each that is opened. After a loss of power a member holds those of the
-/// lives before for some seconds.
+/// How long the number of open connections stays capped after the member reported too many: one
+/// is closed for each that is opened. After a power loss, a member holds the connections
+/// of the processes' previous incarnations for some more seconds.
 const CONNECTION_CAP_TIME: Duration = Duration::from_millis(250);
-/// How long an unused connection is kept.
+/// How long an idle connection is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Interval in which a request that waits looks whether the queue stands by now.
+/// Interval at which a waiting request checks whether the queue is a standing queue.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(30);
-/// Requests of all databases that wait for a connection, at the most.
+/// Maximum number of waiting requests of all databases together.
 const QUEUE_LENGTH: usize = 1_024;
 
 #[derive(Debug)]
 struct PoolState {
     open_after: Option<Instant>,
-    /// Connections that the member accepts of this process, until a moment.
+    /// Number of connections that the member accepts from this process, and until when that
+    /// holds.
     connection_cap: Option<(usize, Instant)>,
     queue: QueueDelay,
     concurrency: ConcurrencyLimit,
@@ -52,7 +55,7 @@
 }
 
 impl PoolState {
-    /// Connections that may stand.
+    /// Maximum number of open connections, idle ones included.
     fn share(&self, now: Instant) -> usize {
         let ceiling = self.concurrency.ceiling();
         let connection_cap = self.connection_cap.filter(|(_, until)| now < *until);
@@ -60,26 +63,26 @@
     }
 }
 
-/// The connections to one member.
+/// The connection pool of one member.
 #[derive(Debug)]
 pub struct MemberPool {
     member: Arc<Member>,
     back_end: Arc<dyn BackEnd>,
     remote: bool,
     gate: Gate,
-    /// The server has started again: a connection would lead to its next life.
+    /// Set once the server has restarted: a new connection would reach its next incarnation.
     retired: AtomicBool,
     connections: ConnectionSet<Established, DatabaseName>,
     state: Mutex<PoolState>,
 }
 
 impl MemberPool {
-    /// A pool without connections.
+    /// Creates an empty pool of direct connections.
     pub fn new(member: Arc<Member>, back_end: Arc<dyn BackEnd>) -> Self {
         Self::with_limit(member, back_end, INITIAL_LIMIT, false)
     }
 
-    /// A pool of connections by way of the member's homes, which bound their number.
+    /// Creates an empty pool of connections through the member's homes, which limit their number.
     pub fn remote(member: Arc<Member>, back_end: Arc<dyn BackEnd>) -> Self {
         Self::with_limit(member, back_end, REMOTE_LIMIT, true)
     }
@@ -112,16 +115,16 @@
         }
     }
 
-    /// The same, where nothing is sent that `gate` holds back.
+    /// Makes all sending subject to `gate`.
     pub fn with_gate(self, gate: Gate) -> Self {
         Self { gate, ..self }
     }
 
-    /// Whether anything may be sent to the member now.
+    /// Checks whether anything may be sent to the member now.
     ///
     /// # Errors
     ///
-    /// Why it may not.
+    /// [`MayNotSend`] tells why it may not.
     pub fn check_sending(&self) -> Result<(), MayNotSend> {
         self.gate.check(Instant::now())
     }
@@ -130,32 +133,33 @@
         &self.gate
     }
 
-    /// The member, as it was when the pool was made: its identity and place.
+    /// The member as of the creation of the pool. Its identity and zone are still valid.
     pub fn member(&self) -> &Arc<Member> {
         &self.member
     }
 
-    /// Whether its connections go by way of the member's homes.
+    /// Whether connections go through the member's homes.
     pub fn is_remote(&self) -> bool {
         self.remote
     }
 
-    /// Connections in use.
+    /// Number of connections in use.
     pub fn in_use(&self) -> usize {
         self.load().in_use
     }
 
-    /// How the connections are used, and how many requests wait.
+    /// Number of connections in use and of waiting requests.
     pub fn load(&self) -> Load {
         self.connections.load()
     }
 
-    /// Connections that may be in use now.
+    /// Current limit on the connections in use.
     pub fn limit(&self) -> usize {
         self.lock().concurrency.limit()
     }
 
-    /// Bounds the connections in use. Fewer are reached as those in use come back.
+    /// Changes the upper bound of the connections in use. A lower bound takes effect as
+    /// connections in use are returned.
     pub fn set_limit(&self, limit: usize) {
         let mut state = self.lock();
         state.concurrency.set_ceiling(limit);
@@ -164,7 +168,7 @@
         self.connections.set_slots(slots);
     }
 
-    /// Notes that a statement was answered after `latency`.
+    /// Records that a statement was answered after `latency`.
     pub(super) fn record_statement(&self, latency: Duration) {
         metrics::histogram!("stilequay_stage_seconds", "stage" => "member").record(latency);
         if self.remote {
@@ -183,21 +187,21 @@
         }
     }
 
-    /// What is known of the member.
+    /// The observed health of the member.
     pub fn health(&self) -> MemberHealth {
         self.lock().health.clone()
     }
 
-    /// Notes something of the member.
+    /// Updates the observed health of the member.
     pub fn update_health(&self, change: impl FnOnce(&mut MemberHealth)) {
         change(&mut self.lock().health);
     }
 
-    /// A connection, one with the claim's values in place if there is such a one.
+    /// Acquires a connection, preferably one that has the requested session values set.
     ///
     /// # Errors
     ///
-    /// [`AcquireError`] where there is none by `deadline`.
+    /// [`AcquireError`] if no connection is available by `deadline`.
     pub async fn acquire(
         self: &Arc<Self>,
         acquire_request: &AcquireRequest,
@@ -207,12 +211,12 @@
             .await
     }
 
-    /// As [`MemberPool::acquire`]; a cold member is waited for until `paced_until` only, where
-    /// it takes no more now.
+    /// Same as [`MemberPool::acquire`], but waits only until `paced_until` for the slow start
+    /// limit of a cold member.
     ///
     /// # Errors
     ///
-    /// As for [`MemberPool::acquire`].
+    /// Same as for [`MemberPool::acquire`].
     pub async fn acquire_paced(
         self: &Arc<Self>,
         acquire_request: &AcquireRequest,
@@ -221,7 +225,7 @@
     ) -> Result<PooledConnection, AcquireError> {
         self.check_sending()?;
         let permit = self.admit(acquire_request, deadline).await?;
-        // The wait may have been long.
+        // The permission may have been revoked during the wait.
         self.check_sending()?;
         let mut connection = self.connection(acquire_request, permit, deadline).await?;
         connection.admit(acquire_request.admission(deadline));
@@ -230,7 +234,7 @@
         Ok(connection)
     }
 
-    /// A connection under `permit`: one that rests, or a new one.
+    /// Takes an idle connection or opens a new one, holding `permit`.
     async fn connection(
         self: &Arc<Self>,
         acquire_request: &AcquireRequest,
@@ -253,8 +257,8 @@
         }
     }
 
-    /// Waits for the claim's turn; for no longer than its patience where the queue stands,
-    /// be it before or after the wait began.
+    /// Waits until the request is admitted. While the queue is a standing queue, whether it
+    /// became one before or during the wait, the request waits no longer than its patience.
     async fn admit(
         &self,
         acquire_request: &AcquireRequest,
@@ -291,8 +295,8 @@
         admitted
     }
 
-    /// Opens a connection in a task of its own: where the one who asked for it gives up,
-    /// the member's work for it is not lost, and the connection goes to the pool.
+    /// Opens a connection in a background task: if the caller gives up, the member's work of
+    /// accepting the connection is not wasted, and the connection goes to the pool.
     fn spawn_open(
         self: &Arc<Self>,
         tenant: Option<TenantName>,
@@ -305,11 +309,11 @@
         })
     }
 
-    /// Opens a connection that is not counted against the pool, for orders and reports.
+    /// Opens a connection without a permit. Control commands use it outside the pool.
     ///
     /// # Errors
     ///
-    /// [`ConnectError`] where it can't be opened in time.
+    /// [`ConnectError`] if it cannot be opened in time.
     async fn open_unpooled(
         &self,
         tenant: Option<&TenantName>,
@@ -324,13 +328,14 @@
         result
     }
 
-    /// Gives an order, over a connection that is not in use if there is one. Where the
-    /// member accepts no more connections, one in use is waited for. Orders go to evacuated
-    /// zones too: without its fence a new leader could lack acknowledged commits.
+    /// Sends a control command, over an idle connection if there is one. If the member accepts
+    /// no further connection, waits for one of the pool. Control commands are also sent to
+    /// evacuated zones: a new leader that did not fence the old one there could lack
+    /// acknowledged commits.
     ///
     /// # Errors
     ///
-    /// [`ControlError`] tells whether the member runs.
+    /// [`ControlError`] tells whether the member is running.
     pub async fn control(self: &Arc<Self>, control: Control) -> Result<MemberReport, ControlError> {
         if let Some(mut idle) = self.try_idle().await
             && let Ok(report) = idle.control(control).await
@@ -365,26 +370,27 @@
         Some(self.in_use_connection(established, permit))
     }
 
-    /// Closes unused connections, and those in use as they come back.
+    /// Closes idle connections now, and those in use as they are returned.
     pub fn close(&self) {
         self.connections.close();
     }
 
-    /// Takes it that this life of the member's server has ended: no connection is opened any more.
+    /// Closes the pool because the member's server has restarted: it opens no more connections.
     pub fn retire(&self) {
         self.retired.store(true, Ordering::Relaxed);
         self.close();
     }
 
-    /// Closes the connections that are not in use: the member does not answer on them.
+    /// Closes the idle connections and records the member as unreachable, because it does not
+    /// answer.
     pub fn mark_unreachable(&self) {
         self.close_idle_connections();
         self.update_health(|health| health.record_unreachable(Instant::now()));
     }
 
-    /// Notes that what was sent at `sent` was not answered in time. Where the member has said
-    /// nothing at all since, connections that rest are closed: they may have gone silent
-    /// together, and each would cost another request its time.
+    /// Records that a command sent at `sent` was not answered in time. If the member has sent
+    /// nothing at all since, the idle connections are closed: they may all have gone silent at
+    /// once, and each would make another request time out.
     pub fn record_timeout(&self, sent: Instant) {
         let now = Instant::now();
         self.update_health(|health| health.record_timeout(now.duration_since(sent), now));
@@ -394,12 +400,12 @@
         }
     }
 
-    /// Closes the connections that are not in use: nothing is sent on them any more.
+    /// Closes the idle connections now; those in use stay open.
     pub fn close_idle_connections(&self) {
         drop(self.connections.take_all(|_| true));
     }
 
-    /// Closes connections that were not used for long.
+    /// Closes connections that have been idle for [`IDLE_TIMEOUT`].
     pub fn close_expired(&self) {
         self.connections.close_idle(|idle| idle.age >= IDLE_TIMEOUT);
     }
@@ -418,8 +424,8 @@
         PooledConnection::new(Arc::clone(self), established, permit)
     }
 
-    /// The most recently used connection of `tenant` that is still open, with `values` if
-    /// possible.
+    /// Takes the most recently used open connection of `tenant`, preferably one that has
+    /// `values` set.
     fn take_idle(
         &self,
         tenant: Option<&TenantName>,
@@ -436,9 +442,9 @@
         })
     }
 
-    /// Closes connections that rest where one more would be over this process's share of
-    /// those that the member accepts: they are of other tenants. The one that has rested
-    /// longest goes first.
+    /// Closes idle connections, longest idle first, while opening one more would exceed this
+    /// process's share of the connections that the member accepts. The idle ones belong to
+    /// other tenants, else one of them would have been taken.
     fn evict_excess(&self, now: Instant) -> Result<(), AcquireError> {
         let share = self.lock().share(now);
         while self.open_connections() > share {
@@ -450,7 +456,7 @@
         Ok(())
     }
 
-    /// Connections that stand or are being opened.
+    /// Number of connections that are open or being opened.
     fn open_connections(&self) -> usize {
         self.connections.load().in_use + self.connections.count_idle(|_| true)
     }
@@ -507,7 +513,7 @@
     }
 }
 
-/// Whether a request that was not admitted may try again while it has time.
+/// Maps a rejection: `Exhausted` may be retried until the deadline, `Shed` tells when to retry.
 fn rejection(rejected: &Rejected) -> AcquireError {
     match rejected.reason {
         RejectReason::Deadline | RejectReason::QueueTime => AcquireError::Exhausted,
--- a/crates/engine/src/pool/mod.rs
+++ b/crates/engine/src/pool/mod.rs
@@ -1,8 +1,8 @@
-//! Connections to members, shared between sessions.
+//! Connection pools for members, shared by all sessions.
 //!
-//! A connection is in use from one acquisition until its [`PooledConnection`] is given
-//! back. Only a connection whose last answer was read to its end and that is outside any
-//! transaction goes back; every other one is closed.
+//! A connection is in use from its acquisition until its [`PooledConnection`] is dropped. It
+//! returns to the pool only if its last answer was read completely and no transaction is
+//! open on it; otherwise it is closed.
 
 mod acquire_request;
 mod concurrency;
--- a/crates/engine/src/pool/queue.rs
+++ b/crates/engine/src/pool/queue.rs
@@ -1,26 +1,27 @@
-//! Whether the queue before a member is a burst that passes, or stands.
+//! Detects whether the queue for a member is a short burst or a standing queue.
 //!
-//! A burst is waited out. A queue that stands makes every request late, those that a
-//! member could have run in time too: then a request waits only for as long as it can
-//! without becoming late by it, and is refused early enough to be run elsewhere, or told
-//! when to come back. (After Nichols and Jacobson's controlled delay.)
+//! A burst drains by itself. A standing queue delays every request, including those that the
+//! member could have run in time. While the queue stands, a request therefore waits only as
+//! long as it can still meet its deadline, and is refused early enough to run on another
+//! member or to be told when to retry. This follows CoDel, the controlled delay algorithm of
+//! Nichols and Jacobson.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Wait that is no sign of a queue.
+/// Waits shorter than this do not count as queueing.
 const TARGET_DELAY: Duration = Duration::from_millis(20);
-/// Time without a quick admission after which the queue stands.
+/// Time without an admission within [`TARGET_DELAY`] after which the queue is standing.
 const STANDING_INTERVAL: Duration = Duration::from_millis(150);
 
-/// What the waits of admitted requests have shown.
+/// Tracks the queueing delay of recent requests.
 #[derive(Debug, Clone, Default)]
 pub struct QueueDelay {
     slow_since: Option<Instant>,
 }
 
 impl QueueDelay {
-    /// A request was admitted after `wait`.
+    /// Records that a request was admitted after `wait`.
     pub fn record_admission(&mut self, wait: Duration, now: Instant) {
         if wait < TARGET_DELAY {
             self.slow_since = None;
@@ -29,12 +30,12 @@
         }
     }
 
-    /// A request was not admitted in time.
+    /// Records that a request was not admitted in time.
     pub fn record_timeout(&mut self, now: Instant) {
         self.slow_since.get_or_insert(now);
     }
 
-    /// Whether the queue stands.
+    /// Whether the queue is a standing queue at `now`.
     pub fn is_standing(&self, now: Instant) -> bool {
         self.slow_since
             .is_some_and(|since| now.duration_since(since) >= STANDING_INTERVAL)
--- a/crates/engine/src/pool/set.rs
+++ b/crates/engine/src/pool/set.rs
@@ -1,8 +1,8 @@
-//! The connections to one server, whatever protocol they speak: how many may be in use,
-//! whose turn it is, and which of those at rest is used next.
+//! Protocol-independent part of a connection pool: admission, fairness between tenants and the
+//! choice among idle connections.
 //!
-//! What a connection is, how one is opened and when one at rest is closed is for the
-//! [pools](crate::pool) of the protocols' adapters.
+//! The type of the connections, how they are opened and when idle ones are closed is up to the
+//! [pools](crate::pool) of the protocol adapters.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -12,32 +12,32 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A connection that can rest.
+/// A connection that can be kept idle in a [`ConnectionSet`].
 pub trait PoolConnection {
-    /// Whether it still stands while it rests, as far as can be told without asking.
+    /// Whether the idle connection is still open, as far as can be told without a round trip.
     fn is_open(&mut self) -> bool;
 }
 
-/// How well a connection at rest fits.
+/// How well an idle connection fits a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fit {
-    /// Not at all: another one has to be opened.
+    /// It cannot be used.
     None,
-    /// It can be made to fit.
+    /// It can be used after its session state has been changed.
     Usable,
-    /// It needs nothing done to it.
+    /// It can be used as it is.
     Exact,
 }
 
-/// A connection at rest, as [`ConnectionSet::close_idle`] shows it.
+/// An idle connection as passed to the predicate of [`ConnectionSet::close_idle`].
 #[derive(Debug)]
 pub struct IdleConnection<'a, C> {
     /// The connection.
     pub connection: &'a C,
-    /// How long it has been resting.
+    /// How long it has been idle.
     pub age: Duration,
-    /// Connections at rest that have not been looked at yet, this one included. The one
-    /// that has rested longest is looked at first.
+    /// Number of idle connections still to be visited, this one included. They are visited
+    /// from the longest idle to the most recently used.
     pub remaining: usize,
 }
 
@@ -49,12 +49,12 @@
 
 #[derive(Debug)]
 struct Idle<C> {
-    /// Oldest first.
+    /// Longest idle first.
     entries: Vec<IdleEntry<C>>,
     closed: bool,
 }
 
-/// The connections to one server, shared fairly between the tenants `T`.
+/// Connections to one server, shared fairly between tenants identified by `T`.
 #[derive(Debug)]
 pub struct ConnectionSet<C, T: TenantKey> {
     slots: Limiter<T>,
@@ -63,7 +63,7 @@
 }
 
 impl<C: PoolConnection, T: TenantKey> ConnectionSet<C, T> {
-    /// No connection yet, and as many slots as `settings` say.
+    /// Creates an empty set with the slots and queue limits of `settings`.
     pub fn new(settings: LimiterSettings) -> Self {
         Self {
             slots: Limiter::new(settings),
@@ -75,26 +75,27 @@
         }
     }
 
-    /// Changes how many connections may be in use. Fewer are reached as they come back.
+    /// Changes how many connections may be in use. A lower number takes effect as connections
+    /// in use are returned.
     pub fn set_slots(&self, slots: usize) {
         self.slots.set_slots(slots);
     }
 
-    /// How many are in use, and how many requests wait.
+    /// Number of connections in use and of waiting requests.
     pub fn load(&self) -> Load {
         self.slots.load()
     }
 
-    /// When a request that waits no longer is to come back.
+    /// After how long a rejected request should be retried.
     pub fn retry_after(&self) -> Duration {
         self.slots.retry_after()
     }
 
-    /// Waits for the tenant's turn to use a connection.
+    /// Waits until the tenant may use a connection.
     ///
     /// # Errors
     ///
-    /// [`Rejected`] where it doesn't come by `deadline`: nothing of the request has begun.
+    /// [`Rejected`] if the request is not admitted by `deadline`. Nothing of it has started.
     pub async fn admit(
         &self,
         tenant: T,
@@ -104,17 +105,18 @@
         self.slots.acquire_within(tenant, limits, deadline).await
     }
 
-    /// As [`ConnectionSet::admit`], with the limits that hold for every tenant.
+    /// Same as [`ConnectionSet::admit`], with the default limits of a tenant.
     ///
     /// # Errors
     ///
-    /// As for [`ConnectionSet::admit`].
+    /// Same as for [`ConnectionSet::admit`].
     pub async fn admit_any(&self, tenant: T, deadline: Instant) -> Result<Permit<T>, Rejected> {
         self.slots.acquire(tenant, deadline).await
     }
 
-    /// The connection that fits best, among equals the one used last: the others are
-    /// nearer their end. One that no longer stands is dropped.
+    /// Takes the best fitting idle connection, preferring the most recently used among equals,
+    /// since the others are closer to their idle timeout. Connections found closed are
+    /// dropped.
     pub fn take_idle(&self, fit: impl Fn(&C) -> Fit) -> Option<C> {
         let mut idle = self.lock();
         loop {
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Takes all connections at rest of which `which` is true, oldest first.
+    /// Takes all idle connections that satisfy `which`, longest idle first.
     pub fn take_all(&self, which: impl Fn(&C) -> bool) -> Vec<C> {
         let mut idle = self.lock();
         let taken = idle
@@ -140,7 +142,7 @@
         taken.map(|entry| entry.connection).collect()
     }
 
-    /// Lets a connection rest that nothing is unfinished on.
+    /// Returns a connection without unfinished work to the set.
     pub fn put_idle(&self, connection: C) {
         let mut idle = self.lock();
         if idle.closed {
@@ -152,19 +154,19 @@
         self.returned.notify_one();
     }
 
-    /// Waits until a connection comes to rest.
+    /// Waits until a connection is returned.
     pub async fn returned(&self) {
         self.returned.notified().await;
     }
 
-    /// Connections at rest of which `which` is true.
+    /// Number of idle connections that satisfy `which`.
     pub fn count_idle(&self, which: impl Fn(&C) -> bool) -> usize {
         let idle = self.lock();
         let entries = idle.entries.iter();
         entries.filter(|entry| which(&entry.connection)).count()
     }
 
-    /// Closes the connections at rest of which `expired` is true.
+    /// Closes the idle connections that satisfy `expired`.
     pub fn close_idle(&self, expired: impl Fn(IdleConnection<'_, C>) -> bool) {
         let now = Instant::now();
         let mut idle = self.lock();
@@ -180,7 +182,7 @@
         });
     }
 
-    /// Closes the connection that has rested longest; returns whether there was one.
+    /// Closes the longest idle connection; returns whether there was one.
     pub fn close_oldest(&self) -> bool {
         let mut idle = self.lock();
         let any = !idle.entries.is_empty();
@@ -190,7 +192,7 @@
         any
     }
 
-    /// Closes all connections at rest, and those in use as they come back.
+    /// Closes all idle connections now, and those in use as they are returned.
     pub fn close(&self) {
         let mut idle = self.lock();
         idle.closed = true;
