--- a/crates/engine/src/slow_start/allot.rs
+++ b/crates/engine/src/slow_start/allot.rs
@@ -1,4 +1,4 @@
-//! Writing the allotments of cold members, and telling of this process's shares.
+//! Writes the allotments of cold members to the store, and events about this process's shares.
 
 use super::allotment::{Allotment, Allotments, Senders, divide};
 use super::{ColdStart, cold_start, settling_time, share};
@@ -15,25 +15,25 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Interval in which members are looked at while any is cold.
+/// Interval of checks while any member is cold.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The same while none is, where groups have a slow start: a member that turns cold is noticed
-/// by its change.
+/// Interval of checks while no member is cold but a group has a slow start. A member that becomes
+/// cold is noticed sooner, by the change of its entry.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
-/// How much longer each candidate waits than the one before it until it writes an allotment. A
-/// write takes some tens of ms.
+/// Delay of an allotment's write per rank of the candidate, so that candidates write one after
+/// another. A write takes some tens of ms.
 const RANK_DELAY: Duration = Duration::from_millis(400);
-/// Pause at the first start of a fleet, while its processes come to know one another: each
-/// would be the first candidate for a moment.
+/// Delay at the first start of a fleet, while its processes discover one another: until then each
+/// would consider itself the first candidate.
 const FIRST_START_DELAY: Duration = Duration::from_secs(2);
-/// Allotments that a record keeps of members that have left: none of them comes back under
-/// its name, and there is no hurry.
+/// Number of departed members whose allotments a record may keep. No member comes back under the
+/// same identity, so they need not be removed at once.
 const MAX_DEPARTED_MEMBERS: usize = 8;
 
-/// What was last told of a cold member.
+/// Share and limit last reported for each cold member.
 type Reported = HashMap<MemberId, (usize, usize)>;
 
-/// Keeps the allotments until the process ends; does nothing while no group has a slow start.
+/// Maintains the allotments until the process ends; idle while no group has a slow start.
 pub async fn run(engine: &Engine) {
     let mut configuration = engine.subscribe_configuration();
     let mut directory = engine.subscribe_directory();
@@ -48,7 +48,7 @@
         if !engine.slow_starts().is_enabled() {
             report_warm_members(engine, &[], &mut reported);
             metrics::gauge!("stilequay_cold_members").set(0.0);
-            // The sender lives as long as this does.
+            // The sender outlives this task, so this cannot fail.
             let _ = configuration.changed().await;
             continue;
         }
@@ -67,7 +67,7 @@
     }
 }
 
-/// Looks at all members once; returns whether any is cold.
+/// Checks all members once; returns whether any is cold.
 async fn check_members(
     engine: &Engine,
     missing_since: &mut HashMap<MemberId, Instant>,
@@ -92,8 +92,8 @@
     !members.is_empty()
 }
 
-/// Writes the allotment of `member` where it lacks one that is right and it is this process's
-/// turn to write.
+/// Writes the allotment of `member` if it is missing or outdated and the delay of this process's
+/// rank has passed.
 async fn update_allotment(
     engine: &Engine,
     member: &Member,
@@ -116,14 +116,17 @@
     }
     let present = present.map(|(allotment, _)| allotment);
     if let Err(error) = write(engine, member, present, allotment).await {
-        log::warn!("the allotment of {} was not written: {error}", member.id);
-        // The next candidate's turn may come before this one tries again.
+        log::warn!(
+            "failed to write the slow start allotment of {}: {error}",
+            member.id
+        );
+        // Leaves time for the next candidate to write before this one retries.
         missing_since.insert(member.id.clone(), Instant::now() + RANK_DELAY);
     }
 }
 
-/// This process's place among those that write the allotment of `member`. One that knows no
-/// other process is the first.
+/// This process's rank among the candidates that write the allotment of `member`. A process that
+/// knows no candidate is the first.
 fn rank(engine: &Engine, member: &Member) -> Option<usize> {
     let candidates = engine.homes().candidates(member);
     let own = &engine.settings().node;
@@ -133,8 +136,9 @@
     }
 }
 
-/// The allotment that `member` is to have in place of the `present` one, which is known since a
-/// moment; `None` where it has that, or where others may not have heard of the present one yet.
+/// The allotment that is to replace the `present` one of `member`, given with the time since when
+/// it is known. `None` if the present one is up to date, or if other processes may not have
+/// learned of it yet.
 fn desired_allotment(
     engine: &Engine,
     member: &Member,
@@ -158,7 +162,7 @@
     })
 }
 
-/// Who sends statements to `member`, its candidates for homes first.
+/// The processes that send statements to `member`, candidates for its homes first.
 fn senders(engine: &Engine, member: &Member) -> Senders {
     let candidates = engine.homes().candidates(member);
     let names = |peers: &[Peer]| -> Vec<NodeName> {
@@ -180,8 +184,8 @@
     Senders::All(first)
 }
 
-/// Writes the record of the group with the allotment of `member` in place of the one that was
-/// `seen`, unless another process has written it meanwhile.
+/// Writes the group's record with the `allotment` of `member` in place of the `seen` one, unless
+/// another process has changed it meanwhile.
 async fn write(
     engine: &Engine,
     member: &Member,
@@ -199,9 +203,10 @@
         None => Allotments::default(),
         Some(Some(present)) => present,
         Some(None) => {
-            // Processes of another release may read it, and use the shares in it.
+            // Not overwritten: processes of another release may be able to read it and use its
+            // shares.
             log::error!(
-                "the allotments of {} can't be read; they are left",
+                "invalid slow start allotments of group {}; the record is left unchanged",
                 member.group
             );
             return Ok(());
@@ -217,7 +222,7 @@
     put.await.map(drop)
 }
 
-/// Drops members that have left, if there are many.
+/// Removes the allotments of departed members if there are many.
 fn prune_departed(engine: &Engine, allotments: &mut Allotments) {
     let directory = engine.directory();
     let has_left = |id: &MemberId| directory.member(id).is_none();
@@ -227,7 +232,7 @@
     }
 }
 
-/// Tells what this process may send to a cold member, where that has changed.
+/// Writes an event if this process's share for a cold member has changed.
 fn report_share(engine: &Engine, member: &Member, cold: ColdStart, reported: &mut Reported) {
     let now = Instant::now();
     let share = share(engine, member, cold, now);
@@ -243,7 +248,7 @@
     }
 }
 
-/// Tells of members that are cold no more.
+/// Writes an event for each member that is no longer cold.
 fn report_warm_members(
     engine: &Engine,
     cold: &[(Arc<Member>, ColdStart)],
--- a/crates/engine/src/slow_start/allotment.rs
+++ b/crates/engine/src/slow_start/allotment.rs
@@ -1,37 +1,37 @@
-//! How many statements each process may send to a cold member, as the store keeps it.
+//! Store records that divide the statement limit of cold members between processes.
 
 use crate::names::{MemberId, NodeName};
 use crate::ports::Record;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Prefix of the keys of these records.
+/// Key prefix of these records.
 pub const KEY_PREFIX: &str = "slow-start/";
-/// Parts of a member's allowance for each of its candidates, the homes first. The homes run all
-/// of its statements while they live; what others have is lost until a home is.
+/// Relative shares of a member's candidates, the homes first. The homes send all of its statements
+/// while they live; the shares of the other candidates stay unused until a home is lost.
 const CANDIDATE_WEIGHTS: [usize; 4] = [4, 4, 1, 1];
-/// Part of what a cold member takes that is left to orders and reports, which are never held
-/// back: a survey asks each member a few times in a change of leader.
+/// One in this many statements is reserved for control commands and status reports, which are
+/// never delayed: a survey queries each member a few times during a change of leader.
 const CONTROL_FRACTION: usize = 10;
 
-/// Statements in each window, by process. Those that are not named have none.
+/// Statements per window, by process. A process that is not listed has no share.
 pub type Shares = BTreeMap<NodeName, usize>;
 
-/// The shares of one member.
+/// How the statement limit of one member is divided.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allotment {
-    /// Statements that the member takes in a window, from all processes together.
+    /// Maximum number of statements per window from all processes together.
     pub most: usize,
-    /// The shares.
+    /// The current shares.
     pub shares: Shares,
-    /// The shares before, where there were any: whoever has not heard of the new ones goes on
+    /// The previous shares, if any. A process that has not learned of the current ones keeps
     /// using these for a while.
     pub before: Option<Shares>,
 }
 
 impl Allotment {
-    /// The share of `node` while the member takes `most`. Until the allotment is `settled`
-    /// others may still use the shares before.
+    /// The share of `node` while the member's limit is `most`. Until the allotment is `settled`,
+    /// other processes may still use the previous shares, so the share does not grow.
     pub fn share(&self, node: &str, most: usize, settled: bool) -> usize {
         let share = share_of(&self.shares, node);
         let share = match &self.before {
@@ -52,39 +52,42 @@
 /// The allotments of a group's members.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allotments {
-    /// By member.
+    /// Allotments by member.
     pub members: BTreeMap<MemberId, Allotment>,
 }
 
 impl Allotments {
-    /// The key of the record of `group`.
+    /// The record key of `group`.
     pub fn key(group: &str) -> String {
         format!("{KEY_PREFIX}{group}")
     }
 
-    /// Reads a record; `None` where it makes no sense.
+    /// Decodes a record; `None` if it is invalid.
     pub fn decode(record: &Record) -> Option<Self> {
         match rmp_serde::from_slice(&record.value) {
             Ok(allotments) => Some(allotments),
             Err(error) => {
-                log::error!("the allotments in {:?} can't be read: {error}", record.key);
+                log::error!(
+                    "invalid slow start allotments in record {:?}: {error}",
+                    record.key
+                );
                 None
             }
         }
     }
 }
 
-/// Who sends statements to a member, in order.
+/// The processes that send statements to a member, by precedence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Senders {
-    /// Its candidates for homes.
+    /// The candidates for the member's homes.
     Candidates(Vec<NodeName>),
-    /// All processes, which connect by themselves.
+    /// All processes, each of which connects directly.
     All(Vec<NodeName>),
 }
 
-/// Divides what a member takes in a window. The shares sum up to less than `most` by what is
-/// left to orders.
+/// Divides a member's limit of `most` statements per window into shares. Their sum is `most` minus
+/// the reserve for control commands.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -105,12 +108,12 @@
     let all: usize = weights.iter().sum();
     let mut shares: Vec<usize> = weights.iter().map(|weight| total * weight / all).collect();
     let left = total - shares.iter().sum::<usize>();
-    // Less than one for each.
+    // The remainder is less than one statement per sender.
     shares.iter_mut().take(left).for_each(|share| *share += 1);
     nodes.iter().cloned().zip(shares).collect()
 }
 
-/// What is left to orders and reports.
+/// The part of `most` that is reserved for control commands and status reports.
 fn control_reserve(most: usize) -> usize {
     match most {
         0 | 1 => 0,
--- a/crates/engine/src/slow_start/guard.rs
+++ b/crates/engine/src/slow_start/guard.rs
@@ -1,8 +1,8 @@
-//! Counting statements where they leave this process.
+//! Enforces the slow start limit where statements leave this process.
 //!
-//! All connections that this process opens to members go through [`SlowStartBackEnd`]: those of
-//! its sessions, those of others for which it is a home, those for which it reached no home,
-//! and those for orders.
+//! All direct connections of this process to members go through [`SlowStartBackEnd`]: those of
+//! its sessions, those it opens as a home on behalf of other processes, those opened because no
+//! home was reachable, and those for control commands.
 
 use super::window::{SEND_TIME, SendPriority, WINDOW};
 use crate::directory::Member;
@@ -20,11 +20,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest wait of a later statement of a transaction. By then a place is free in any case,
-/// unless more transactions are open than the share has places.
+/// Longest wait of a later statement of a transaction. Within this time the share always allows
+/// one, unless more transactions are open than the share has statements.
 const LATER_STATEMENT_WAIT: Duration = WINDOW;
 
-/// Opens connections whose statements are counted while their member is cold.
+/// Back end whose connections count their statements while the member is cold.
 #[derive(Debug)]
 pub struct SlowStartBackEnd {
     engine: Weak<Engine>,
@@ -32,7 +32,7 @@
 }
 
 impl SlowStartBackEnd {
-    /// For the process of `engine`, which connects by way of `inner`.
+    /// Wraps `inner`, through which the process of `engine` connects.
     pub fn new(engine: Weak<Engine>, inner: Arc<dyn BackEnd>) -> Self {
         Self { engine, inner }
     }
@@ -57,26 +57,26 @@
     }
 }
 
-/// A connection to a member that may be cold.
+/// Connection that counts its statements while the member is cold.
 #[derive(Debug)]
 struct SlowStartConnection {
     engine: Weak<Engine>,
     member: MemberId,
     zone: ZoneName,
     inner: Box<dyn BackEndConnection>,
-    /// When the next statement was counted, if it was.
+    /// When the next statement was counted, if it already was.
     counted_at: Option<Instant>,
     state: TransactionState,
 }
 
 impl SlowStartConnection {
-    /// The engine, where there is anything to count.
+    /// The engine, if any group has a slow start.
     fn counting_engine(&self) -> Option<Arc<Engine>> {
         let engine = self.engine.upgrade()?;
         engine.slow_starts().is_enabled().then_some(engine)
     }
 
-    /// Counts a statement that is about to be sent, unless it was counted just before.
+    /// Counts a statement that is about to be sent, unless it was counted within [`SEND_TIME`].
     async fn count(&mut self) -> Result<(), Duration> {
         let Some(engine) = self.counting_engine() else {
             return Ok(());
@@ -87,10 +87,11 @@
         }
         let until = Instant::now() + LATER_STATEMENT_WAIT;
         super::admit_statement(&engine, &self.member, SendPriority::First(until)).await?;
-        // The wait may have reached over the end of an evacuation.
+        // The time by which an evacuation takes effect may have passed during the wait.
         let schedule = engine.evacuation_schedule();
         let may_send = schedule.check(&self.zone, Sender::Home, Instant::now());
-        // Told as if it were cold: nothing was sent, and it may come back.
+        // Reported like an exhausted slow start: nothing was sent, and the statement may be
+        // retried.
         may_send.map_err(|_| WINDOW)
     }
 
@@ -108,7 +109,7 @@
     }
 }
 
-/// Whether `command` counts. The others take no place at the member.
+/// Whether `command` counts against the limit. Other commands do not occupy the member.
 fn is_counted(command: &Command) -> bool {
     command.is_statement() || matches!(command, Command::Begin { .. })
 }
--- a/crates/engine/src/slow_start/mod.rs
+++ b/crates/engine/src/slow_start/mod.rs
@@ -1,17 +1,17 @@
-//! Cold members: what the whole fleet sends to a member that has just come up is bounded.
+//! Slow start: limits what the whole fleet sends to a cold member, one that started recently.
 //!
-//! A member takes few statements a second until it is warm. Each process counts what it sends
-//! to a cold member ([`window`]), and may send its share, which the store keeps
-//! ([`allotment`], [`allot`]). So the sum holds however processes are cut off from one another:
-//! nobody has a share who does not know by the store that it is his. Statements are counted
-//! where they leave the process ([`guard`]), whatever they come from.
+//! A cold member can run only few statements per second. Each process counts the statements that
+//! it sends to a cold member ([`window`]) and sends no more than its share, which is kept in the
+//! store ([`allotment`], [`allot`]). The total therefore holds under any network partition: a
+//! process uses a share only while it knows from the store that the share is its own. Statements
+//! of every origin are counted where they leave the process ([`guard`]).
 //!
-//! | what happens | what comes of it |
+//! | Event | Effect |
 //! | --- | --- |
-//! | a home of the member is killed or frozen | its share is unused; the other one has as much |
-//! | a process stood still, or is cut off from the store | its knowledge is old: it sends nothing to a cold member |
-//! | all processes restart | what the store keeps holds; each waits for a window, since its earlier life may have sent its share |
-//! | shares are divided anew | nobody has more before all have stopped to use the shares before |
+//! | a home of the member is killed or frozen | its share stays unused; the other home has an equal share |
+//! | a process was paused, or is cut off from the store | its view of the records is too old: it sends nothing to a cold member |
+//! | all processes restart | the shares in the store stay valid; each process first waits for one window, since its previous incarnation may have used its share |
+//! | shares are redistributed | no share grows until all processes have stopped using the previous shares |
 
 pub mod allot;
 pub mod allotment;
@@ -32,13 +32,13 @@
 use tokio::time::Instant;
 use window::{Allowance, SendPriority, StatementGate, WINDOW};
 
-/// How old what a process knows of the records may be while it uses its share, in contact
-/// times. One wait for changes, dated at its begin, and two relays fit into it.
+/// Maximum age of the known records while a process uses its share, in contact times. This allows
+/// for one long poll for changes, dated at its start, and two relays.
 const MAX_RECORD_AGE_CONTACTS: u32 = 2;
-/// How much of a home's share counts as used where that is not known.
+/// Assumed utilization of a member that is reached through its homes, whose use is unknown.
 const ASSUMED_UTILIZATION: f64 = 0.5;
 
-/// Statements that a cold member may get from all processes in any second.
+/// Maximum number of statements that a cold member may receive from all processes in any second.
 ///
 /// ```
 /// use std::time::Duration;
@@ -51,23 +51,23 @@
 /// ```
 pub fn max_statements(slow_start: SlowStart, bounds: SlowStartBounds) -> usize {
     let most = slow_start.per_second * bounds.excess + bounds.slack;
-    // What is no number, or below zero, becomes zero.
+    // The cast turns NaN and negative values into zero.
     most.floor() as usize
 }
 
-/// A group's record as it was last seen.
+/// The last known record of a group.
 #[derive(Debug)]
 struct KnownRecord {
     version: u64,
     allotments: Allotments,
-    /// Since when each member's allotment is known.
+    /// Since when the current allotment of each member has been known.
     since: HashMap<MemberId, Instant>,
 }
 
-/// What this process knows and has sent of cold members.
+/// Slow start state of this process: the known allotments and the statements sent.
 #[derive(Debug)]
 pub struct SlowStarts {
-    /// Whether any group has a slow start. Without one nothing here is looked at.
+    /// Whether any group has a slow start. Otherwise the rest is unused.
     enabled: AtomicBool,
     began: Instant,
     records_as_of: Mutex<Option<Instant>>,
@@ -95,14 +95,15 @@
         self.enabled.load(Ordering::Relaxed)
     }
 
-    /// Takes a configuration that was just taken into use.
+    /// Applies a configuration that has just taken effect.
     pub(crate) fn apply_configuration(&self, configuration: &Configuration) {
         let mut groups = configuration.groups.values();
         let enabled = groups.any(|group| group.slow_start.is_some());
         self.enabled.store(enabled, Ordering::Relaxed);
     }
 
-    /// Takes evacuations that were just taken into use in place of `before`.
+    /// Applies evacuations `now` that have just replaced `before`: members of zones that are no
+    /// longer evacuated are cold.
     pub(crate) fn apply_evacuations(&self, before: &Evacuations, now: &Evacuations) {
         let mut returned = lock(&self.returned);
         for zone in before.zones.difference(&now.zones) {
@@ -110,20 +111,20 @@
         }
     }
 
-    /// Notes that the records are known as of `at`: the moment before the question was sent
-    /// whose answer has told them, or what another process tells of such a moment. To be
-    /// called once they are taken.
+    /// Records that the known records are complete as of `at`: the time just before the request
+    /// was sent whose response contained them, or such a time reported by another process. To
+    /// be called after the records have been applied.
     pub fn advance_records_as_of(&self, at: Instant) {
         let mut as_of = lock(&self.records_as_of);
         *as_of = (*as_of).max(Some(at));
     }
 
-    /// As of when the records are known.
+    /// The time as of which the known records are complete.
     pub fn records_as_of(&self) -> Option<Instant> {
         *lock(&self.records_as_of)
     }
 
-    /// Forgets members that are no longer there.
+    /// Drops the state of members that no longer exist.
     pub(crate) fn retain_members(&self, is_known: impl Fn(&str) -> bool) {
         lock(&self.gates).retain(|id, _| is_known(id));
     }
@@ -134,7 +135,7 @@
         Arc::clone(gate)
     }
 
-    /// Takes the record of `group` as the store has it, if it has changed.
+    /// Decodes the newest known record of `group`, if it has changed.
     fn refresh_record(&self, engine: &Engine, group: &GroupName) {
         let others = engine.terms().subscribe_others();
         let records = others.borrow();
@@ -164,7 +165,7 @@
         known.insert(group.clone(), known_now);
     }
 
-    /// The allotment of `member`, and since when it is known.
+    /// The allotment of `member`, and since when it has been known.
     fn allotment(&self, engine: &Engine, member: &Member) -> Option<(Allotment, Instant)> {
         self.refresh_record(engine, &member.group);
         let known = lock(&self.known);
@@ -174,19 +175,19 @@
     }
 }
 
-/// A cold member.
+/// Slow start of a cold member.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct ColdStart {
-    /// Until when, as far as is known.
+    /// Until when the member is cold, as far as is known.
     pub until: Instant,
-    /// Statements that it takes in a second.
+    /// Maximum number of statements per second from all processes.
     pub max_statements: usize,
-    /// Whether its entry or its zone's return tells so. Otherwise it only may be cold: this
-    /// process has not heard of the store for too long.
+    /// Whether the member's entry or the end of its zone's evacuation says so. Otherwise the
+    /// member only may be cold: this process has been without news of the store for too long.
     pub is_reported: bool,
 }
 
-/// How `member` is cold at `now`; `None` where it is not.
+/// The slow start of `member` at `now`; `None` if it is not cold.
 pub(crate) fn cold_start(engine: &Engine, member: &Member, now: Instant) -> Option<ColdStart> {
     let configuration = engine.configuration()?;
     let slow_start = configuration.groups.get(&member.group)?.slow_start?;
@@ -202,8 +203,8 @@
     })
 }
 
-/// Until when `member` is cold by its entry, or because its zone's evacuation was taken back at
-/// `returned`: the entry may be told later than that.
+/// Until when `member` is cold according to its entry, or because the evacuation of its zone
+/// ended at `returned`, which may become known earlier than the entry.
 fn reported_until(
     member: &Member,
     slow_start: SlowStart,
@@ -213,8 +214,8 @@
     member.cold_until.max(by_return)
 }
 
-/// Whether a zone may have been evacuated, and its members have turned cold, without this
-/// process having heard of it by `now`.
+/// Whether this process may, by `now`, have missed that a zone was evacuated, which makes its
+/// members cold.
 fn may_have_missed_evacuation(engine: &Engine, now: Instant) -> bool {
     let Some(bound) = engine.settings().evacuation_bound else {
         return false;
@@ -223,18 +224,17 @@
     as_of.is_none_or(|at| now > at + bound)
 }
 
-/// How old what is known of the records may be while a share is used.
+/// Maximum age of the known records while a share is used.
 pub(crate) fn max_record_age(engine: &Engine) -> Duration {
     engine.settings().contact * MAX_RECORD_AGE_CONTACTS
 }
 
-/// Time after which an allotment that has replaced another is used by everybody, and the one
-/// before by nobody.
+/// Time after a change of an allotment by which no process uses the previous one any more.
 pub(crate) fn settling_time(engine: &Engine) -> Duration {
     max_record_age(engine) + WINDOW
 }
 
-/// What this process may send to `member` in a window.
+/// How many statements this process may send to `member` per window.
 pub fn allowance(engine: &Engine, member: &Member, now: Instant) -> Allowance {
     match cold_start(engine, member, now) {
         None => Allowance::Unbounded,
@@ -244,7 +244,7 @@
 
 fn share(engine: &Engine, member: &Member, cold: ColdStart, now: Instant) -> usize {
     let starts = engine.slow_starts();
-    // Before the allotment is looked up: that must be no older than this tells.
+    // Read before the allotment, which must be at least this recent.
     let as_of = starts.records_as_of();
     let is_recent = as_of.is_some_and(|at| now <= at + max_record_age(engine));
     if !is_recent || now < starts.began + WINDOW {
@@ -257,12 +257,12 @@
     allotment.share(&engine.settings().node, cold.max_statements, settled)
 }
 
-/// Waits until a statement may be sent to the member called `id`, and counts it: returns as of
-/// when, or `None` where the member is not cold.
+/// Waits until a statement may be sent to member `id`, and counts it. Returns when it was counted,
+/// or `None` if the member is not cold.
 ///
 /// # Errors
 ///
-/// The time until there is a place, where that comes too late: it has not been sent.
+/// The time until the statement could be sent, if that is too late. It must not be sent then.
 pub(crate) async fn admit_statement(
     engine: &Engine,
     id: &MemberId,
@@ -270,7 +270,7 @@
 ) -> Result<Option<Instant>, Duration> {
     let allowance = |now| match engine.directory().member(id) {
         Some(member) => allowance(engine, member, now),
-        // It has left; connections to it are being closed.
+        // The member has left; connections to it are being closed.
         None => Allowance::Unbounded,
     };
     if allowance(Instant::now()) == Allowance::Unbounded {
@@ -287,8 +287,8 @@
     passed
 }
 
-/// Counts a report asked of the member called `id`: it takes a place there, and is not held
-/// back.
+/// Counts a status report requested from member `id`. It occupies the member like a statement, but
+/// is never delayed.
 pub(crate) fn count_report(engine: &Engine, id: &MemberId) {
     let directory = engine.directory();
     let member = directory.member(id);
@@ -297,14 +297,15 @@
     }
 }
 
-/// How much of what may be sent to the member of `pool` at `now` is used; one where nothing is
-/// left, zero where it is not cold. What its homes have sent is not known.
+/// Fraction of this process's share for the member of `pool` that is used at `now`: 1 if nothing is
+/// left, 0 if the member is not cold. Assumed for a remote pool, since the use by the homes is
+/// unknown.
 pub(crate) fn utilization(engine: &Engine, pool: &MemberPool, now: Instant) -> f64 {
     if !engine.slow_starts().is_enabled() {
         return 0.0;
     }
     let directory = engine.directory();
-    // As it is by now, not as it was when the pool was made.
+    // The current entry, not the one that the pool was created with.
     let Some(member) = directory.member(&pool.member().id) else {
         return 0.0;
     };
--- a/crates/engine/src/slow_start/window.rs
+++ b/crates/engine/src/slow_start/window.rs
@@ -1,4 +1,4 @@
-//! Counting what is sent to one cold member, and whose turn it is.
+//! Sliding window limit on the statements sent to one cold member, and the queue for it.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,39 +6,40 @@
 use tokio::sync::Mutex as AsyncMutex;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Time in which a statement that is counted must be sent, else it is counted anew: session
-/// values are put in place between, which takes some round trips.
+/// Time within which a counted statement must be sent; otherwise it is counted again. Setting
+/// session values in between takes some round trips.
 pub const SEND_TIME: Duration = Duration::from_millis(100);
-/// The span for which it is told what a member takes, and the resolution of timers.
+/// The second to which a member's limit applies, plus the resolution of timers.
 const SECOND: Duration = Duration::from_millis(1_001);
-/// The span in which statements are counted: what is counted before a second begins may be sent
-/// within it.
+/// Length of the sliding window. It exceeds a second by [`SEND_TIME`], since a statement counted
+/// before a second begins may still be sent within it.
 pub const WINDOW: Duration = SECOND.saturating_add(SEND_TIME);
 
-/// Parts of a window over which statements that wait in order are spread: a later statement of
-/// an open transaction then finds a place within one part, a quarter of a second.
+/// Number of parts of a window over which statements sent in order are spread. A later statement
+/// of an open transaction can then be sent within one part, a quarter of a second.
 const WINDOW_PARTS: usize = 4;
 const WINDOW_PARTS_U32: u32 = WINDOW_PARTS as u32;
 
-/// What one process may send to a member in each [`WINDOW`].
+/// How many statements one process may send to a member per [`WINDOW`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Allowance {
-    /// As much as any member is sent: it is not cold.
+    /// No limit, since the member is not cold.
     Unbounded,
-    /// So many statements.
+    /// At most this many statements.
     Share(usize),
 }
 
-/// When a statement may be sent.
+/// Priority of a statement, with the time until which it may wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendPriority {
-    /// In order of arrival, by a moment.
+    /// In order of arrival.
     InOrder(Instant),
-    /// Before those that wait in order, by a moment.
+    /// Before all statements that wait in order.
     First(Instant),
 }
 
-/// The statements that were counted in a window: any such span holds no more than the share.
+/// Statements counted within the last [`WINDOW`]. Any span of that length contains at most
+/// `share` of them.
 ///
 /// ```
 /// use std::time::Duration;
@@ -58,23 +59,23 @@
 }
 
 impl SendWindow {
-    /// Counts one statement.
+    /// Counts one statement, if the share allows it.
     ///
     /// # Errors
     ///
-    /// When there will be a place for one, if nothing else is sent meanwhile.
+    /// When the share allows the next statement, if nothing else is sent meanwhile.
     pub fn try_take(&mut self, share: usize, now: Instant) -> Result<(), Instant> {
         self.remove_expired(now);
         let free_at = free_at(&self.sent, (share, WINDOW), 0, now);
         self.take_at(free_at, now)
     }
 
-    /// As [`SendWindow::try_take`], with the share spread over the window: in each of its parts
-    /// only a part of the share is sent.
+    /// Same as [`SendWindow::try_take`], with the share spread over the window: each part of the
+    /// window allows only its part of the share.
     ///
     /// # Errors
     ///
-    /// As for [`SendWindow::try_take`].
+    /// Same as for [`SendWindow::try_take`].
     pub fn try_take_spread(&mut self, share: usize, now: Instant) -> Result<(), Instant> {
         self.remove_expired(now);
         let free_at = self.spread_free_at(share, 0, now);
@@ -89,21 +90,21 @@
         Ok(())
     }
 
-    /// Counts what is sent whether there is a place or not.
+    /// Counts a statement that is sent regardless of the share.
     pub fn record(&mut self, now: Instant) {
         self.remove_expired(now);
         self.sent.push_back(now);
     }
 
-    /// When there is a place for one behind `ahead` others that wait, the share spread over the
-    /// window.
+    /// When one more statement may be sent after `ahead` others that wait, with the share spread
+    /// over the window.
     pub fn spread_free_at(&self, share: usize, ahead: usize, now: Instant) -> Instant {
         let whole = free_at(&self.sent, (share, WINDOW), ahead, now);
         let part = (share.div_ceil(WINDOW_PARTS), WINDOW / WINDOW_PARTS_U32);
         whole.max(free_at(&self.sent, part, ahead, now))
     }
 
-    /// Part of `share` that is used.
+    /// Fraction of `share` that is used; 1 if the share is zero.
     pub fn utilization(&self, share: usize, now: Instant) -> f64 {
         let sent = self.sent.iter().filter(|at| **at + WINDOW > now);
         match share {
@@ -119,8 +120,8 @@
     }
 }
 
-/// When one more may follow `sent` behind `ahead` others that wait, where each span of a length
-/// holds so many at the most.
+/// When one more statement may follow `sent` and `ahead` others that wait, if any span of the
+/// length `span` may contain at most `most` statements.
 fn free_at(
     sent: &VecDeque<Instant>,
     (most, span): (usize, Duration),
@@ -130,13 +131,13 @@
     if most == 0 {
         return now + span;
     }
-    // Those that must have left the span before.
+    // Number of earlier statements that must have left the span by then.
     let leaving = (sent.len() + ahead + 1).saturating_sub(most);
     match leaving.checked_sub(1) {
         None => now,
         Some(last) => match sent.get(last) {
             Some(sent) => now.max(*sent + span),
-            // One of those that wait themselves.
+            // The last of these is still waiting itself.
             None => free_at(sent, (most, span), ahead.saturating_sub(most), now) + span,
         },
     }
@@ -145,14 +146,14 @@
 #[derive(Debug, Default)]
 struct GateState {
     window: SendWindow,
-    /// Statements that wait in order.
+    /// Statements that wait in order of arrival.
     waiting: usize,
-    /// Statements that go before these.
+    /// Statements that wait with [`SendPriority::First`].
     waiting_first: usize,
 }
 
 impl GateState {
-    /// Counts one statement of those that wait in order: the others have places before it.
+    /// Counts one statement that waited in order, leaving room for those that go first.
     fn take_in_order(&mut self, share: usize, now: Instant) -> Result<(), Instant> {
         match share {
             0 | 1 => self.window.try_take(share, now),
@@ -164,7 +165,7 @@
     }
 }
 
-/// Lets statements to one member pass, in order of arrival.
+/// Admits statements to one member within its allowance, in order of arrival.
 #[derive(Debug, Default)]
 pub struct StatementGate {
     state: Mutex<GateState>,
@@ -172,12 +173,13 @@
 }
 
 impl StatementGate {
-    /// Waits until a statement may be sent, and counts it: returns as of when, or `None` where
-    /// nothing is to be counted. What `allowance` tells may change while it waits.
+    /// Waits until a statement may be sent, and counts it. Returns when it was counted, or
+    /// `None` if the allowance is unbounded. The `allowance` may change during the wait.
     ///
     /// # Errors
     ///
-    /// The time until there is a place, where that comes too late: it has not been sent.
+    /// The time until the statement could be sent, if that is too late. It is not counted then
+    /// and must not be sent.
     pub async fn admit(
         &self,
         turn: SendPriority,
@@ -194,24 +196,24 @@
         let _waiter = self.enqueue(until, allowance(Instant::now()))?;
         match timeout_at(until, self.turn.lock()).await {
             Ok(_turn) => self.wait(until, &allowance, GateState::take_in_order).await,
-            // Those before it were let pass later than was expected.
+            // The statements ahead of it were admitted later than expected.
             Err(_) => Err(WINDOW),
         }
     }
 
-    /// Counts what is sent in any case.
+    /// Counts a statement that is sent regardless of the allowance.
     pub fn record(&self) {
         self.lock().window.record(Instant::now());
     }
 
-    /// Share of `share` that is used, those that wait included.
+    /// Fraction of `share` that is used, waiting statements included.
     pub fn utilization(&self, share: usize, now: Instant) -> f64 {
         let state = self.lock();
         let waiting = state.waiting as f64 / share.max(1) as f64;
         state.window.utilization(share, now) + waiting
     }
 
-    /// Takes a place in the queue, unless those before it leave none in time.
+    /// Joins the queue, unless the statements ahead use up the share until too late.
     fn enqueue(&self, until: Instant, allowance: Allowance) -> Result<WaiterGuard<'_>, Duration> {
         let now = Instant::now();
         let state = self.lock();
@@ -252,7 +254,7 @@
     }
 }
 
-/// Counts one that waits, until it is dropped.
+/// Counts one waiting statement in a counter of [`GateState`] until dropped.
 struct WaiterGuard<'a> {
     gate: &'a StatementGate,
     counter: fn(&mut GateState) -> &mut usize,
