--- a/crates/engine/src/directory.rs
+++ b/crates/engine/src/directory.rs
@@ -1,4 +1,4 @@
-//! The directory of members: which servers there are, as of when.
+//! Directory of members: the known servers and the version as of which they are known.
 
 use crate::names::{GroupName, MemberId, ZoneName, are_lives_of_one};
 use crate::version::{StoreVersion, era_of};
@@ -8,32 +8,32 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Role that a member says it has.
+/// Role that a member reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// It leads.
+    /// Leads the group.
     Primary,
-    /// It follows.
+    /// Follows the leader.
     Replica,
 }
 
-/// When a member's departure was told.
+/// When a member's departure was announced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Departure {
     /// When this process learned of it.
     pub learned_at: Instant,
-    /// Since when it may have been known to others: when the entries were last known to
-    /// say nothing of it. `None` where they were never read before.
+    /// The earliest time at which other processes may have learned of it: when the entries were
+    /// last known not to contain it. `None` if they had never been read before.
     pub earliest: Option<Instant>,
-    /// Until when a missing entry is expected back: entries lapse while the store is away,
-    /// and those of servers that live are written again soon after its return. `None`
-    /// where the store was there.
+    /// Until when a missing entry is expected to reappear: entries lapse while the store is
+    /// unavailable, and running servers write theirs again soon after it has returned. `None`
+    /// if the store was available.
     pub lapsed_until: Option<Instant>,
 }
 
 impl Departure {
-    /// A departure that nobody can have known of before `now`.
+    /// A departure that no process can have known of before `now`.
     pub fn at(now: Instant) -> Self {
         Self {
             learned_at: now,
@@ -42,8 +42,8 @@
         }
     }
 
-    /// The same, of entries that may have lapsed because the store was away until
-    /// `returned`.
+    /// The same departure, with entries that may have lapsed because the store was unavailable
+    /// until `returned`.
     pub fn lapsing(self, returned: Option<Instant>) -> Self {
         Self {
             lapsed_until: returned.map(|returned| returned + LAPSE_GRACE),
@@ -51,38 +51,38 @@
         }
     }
 
-    /// Whether the entry is still expected back.
+    /// Whether the entry is still expected to reappear.
     pub fn is_lapse(&self, now: Instant) -> bool {
         self.lapsed_until.is_some_and(|until| now < until)
     }
 
-    /// Whether others may have known of it for more than `limit` by now.
+    /// Whether other processes may have known of it for more than `limit`.
     pub fn may_be_older_than(&self, limit: Duration, now: Instant) -> bool {
         self.earliest
             .is_none_or(|earliest| now.duration_since(earliest) > limit)
     }
 }
 
-/// Time after the store's return within which the entries of servers that live are back:
-/// about two seconds, and a little for this process to hear of it.
+/// Time after the store's return within which running servers have written their entries again:
+/// about two seconds, plus the time until this process learns of them.
 pub const LAPSE_GRACE: Duration = Duration::from_millis(2_300);
 
-/// Whether a member is to get work.
+/// Whether statements are sent to a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// It takes work.
+    /// Accepts statements.
     Ready,
-    /// It has said that it is going to leave.
+    /// Has announced that it is going to leave.
     Leaving(Departure),
-    /// Its entry is not there because the store was away, and is expected back: it is used
-    /// as before.
+    /// Its entry is missing because the store was unavailable, and is expected to reappear. The
+    /// member is used as before.
     Lapsed(Departure),
-    /// Its entry is no longer there; it may still serve.
+    /// Its entry has been removed; it may still be serving.
     Gone(Departure),
 }
 
 impl MemberState {
-    /// Its name in events.
+    /// The name of the state in events.
     pub fn name(self) -> &'static str {
         match self {
             MemberState::Ready => "ready",
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Whether nothing is known against its use.
+    /// Whether the state permits new statements.
     pub fn takes_work(&self) -> bool {
         matches!(self, MemberState::Ready | MemberState::Lapsed(_))
     }
@@ -107,29 +107,29 @@
 /// One server of a group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its identity, for this life.
+    /// Identity of this incarnation of the server.
     pub id: MemberId,
     /// Its group.
     pub group: GroupName,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
-    /// The role that it told last.
+    /// The role that it last reported.
     pub role: Role,
-    /// Statements that it runs at a time.
+    /// Number of statements that it runs concurrently.
     pub slots: usize,
-    /// Until when it is slow from its start, as far as it has told; `None` where it is not.
+    /// Until when it is cold after its start, as far as it has reported; `None` if it is not.
     pub cold_until: Option<Instant>,
-    /// Whether it is to get work.
+    /// Whether statements are sent to it.
     pub state: MemberState,
-    /// The store's version of the last change that is told here; zero where that is not
-    /// known. The same wherever the change is known.
+    /// The store's version of the last change included here, which is the same in all processes;
+    /// zero if unknown.
     pub changed: StoreVersion,
 }
 
 impl Member {
-    /// Whether both tell the same, with whichever version.
+    /// Whether both are equal except for the version of the last change.
     fn same_except_version(&self, other: &Self) -> bool {
         let changed = other.changed;
         *other
@@ -139,48 +139,48 @@
             }
     }
 
-    /// Whether its entry is there.
+    /// Whether its entry is present.
     pub fn has_entry(&self) -> bool {
         matches!(self.state, MemberState::Ready | MemberState::Leaving(_))
     }
 
-    /// Whether its entry has gone.
+    /// Whether its entry has been removed.
     pub fn is_gone(&self) -> bool {
         matches!(self.state, MemberState::Gone(_))
     }
 }
 
-/// All members, as of one reading of their entries.
+/// All members, as of one version of their entries.
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
-    /// The newest version of a change that is told here.
+    /// The newest version of a change included here.
     pub version: StoreVersion,
     members: HashMap<MemberId, Arc<Member>>,
-    /// The same by group; made anew after each change.
+    /// Members by group, rebuilt after each change.
     groups: BTreeMap<GroupName, Vec<Arc<Member>>>,
     /// The names of the groups, sorted.
     sorted_groups: Arc<[GroupName]>,
-    /// The newest version of a change that is forgotten: what came after an older version
-    /// can't be told.
+    /// The newest version of a change that is no longer stored. The changes since an older version
+    /// are not known completely.
     forgotten_version: StoreVersion,
 }
 
-/// How long an entry that went away is remembered.
+/// How long a removed entry is kept as gone.
 pub const GONE_RETENTION: Duration = Duration::from_secs(60);
 
 impl Directory {
-    /// The members of `group`, in no order, gone ones included.
+    /// The members of `group` in no particular order, including gone ones.
     pub fn members_of(&self, group: &str) -> Vec<Arc<Member>> {
         self.groups.get(group).cloned().unwrap_or_default()
     }
 
-    /// The member called `id`, if its entry is there or was lately.
+    /// The member `id`, if its entry is present or was removed recently.
     pub fn member(&self, id: &str) -> Option<&Arc<Member>> {
         self.members.get(id)
     }
 
-    /// The member that acts for `id`: itself while its entry is there, else a leader that
-    /// has come back in its place, at `address` or where `id` was.
+    /// The member that acts for `id`: itself while its entry is present, otherwise a primary that
+    /// reappeared in its place, at `address` or at the last address of `id`.
     pub fn acting_member(
         &self,
         group: &str,
@@ -201,8 +201,8 @@
         successor.or(known)
     }
 
-    /// Whether the server of `member` has started again: what answers there now is a later
-    /// life, which holds nothing of what this one held.
+    /// Whether the server of `member` has restarted: a later incarnation answers there now, which
+    /// has none of the state of this one.
     pub fn has_restarted(&self, member: &Member) -> bool {
         let group = self.groups.get(&member.group);
         let mut others = group.into_iter().flatten();
@@ -214,8 +214,8 @@
         self.members.values()
     }
 
-    /// The members that have changed after `version`; `None` where some of these changes
-    /// are forgotten.
+    /// The members that have changed after `version`; `None` if some of these changes are no longer
+    /// stored.
     pub fn changes_since(&self, version: u64) -> Option<impl Iterator<Item = &Arc<Member>>> {
         let members = self.members.values();
         let changed = members.filter(move |member| member.changed > version);
@@ -237,7 +237,7 @@
         self.groups.contains_key(group)
     }
 
-    /// Groups the members anew after a change.
+    /// Rebuilds the groups after a change.
     fn regrouped(mut self) -> Self {
         self.groups.clear();
         for member in self.members.values() {
@@ -248,8 +248,8 @@
         self
     }
 
-    /// The directory with those of `members` that it does not know; `None` where it knows
-    /// them all.
+    /// The directory extended by those of `members` that it does not know; `None` if it knows them
+    /// all.
     pub fn with_unknown(&self, members: Vec<Member>) -> Option<Self> {
         let unknown = members.into_iter();
         let unknown = unknown.filter(|member| !self.members.contains_key(&member.id));
@@ -264,8 +264,8 @@
         Some(next.regrouped())
     }
 
-    /// The directory after the entries `present`, read in whole as of `version`; what is
-    /// missing has gone by `departure`.
+    /// The directory after a complete read of the entries `present` as of `version`. Members
+    /// without an entry have gone, with `departure`.
     pub fn with_entries(&self, version: u64, present: Vec<Member>, departure: Departure) -> Self {
         let mut next = Self {
             version: self.version,
@@ -286,7 +286,7 @@
         next.regrouped()
     }
 
-    /// The directory after some entries have changed, the last of them with `version`.
+    /// The directory after `changes` of entries, the last of them with `version`.
     pub fn with_changes(
         &self,
         version: u64,
@@ -312,7 +312,7 @@
         next.regrouped()
     }
 
-    /// The directory as of `version`, where `changed` are all that have changed since.
+    /// The directory as of `version`, given all members `changed` since this one.
     pub fn merged_with(&self, version: u64, changed: Vec<Member>, now: Instant) -> Self {
         let mut next = self.clone();
         for member in changed {
@@ -323,14 +323,14 @@
         next.regrouped()
     }
 
-    /// Takes a member as it is told.
+    /// Inserts or replaces a member as it is.
     fn insert(&mut self, member: Member) {
         self.version = self.version.max(member.changed);
         self.members.insert(member.id.clone(), Arc::new(member));
     }
 
-    /// The member with the version of its last change: the one that it tells, if that is a
-    /// change; else that of the known one, or `read` where it differs from that.
+    /// The member with the version of its last change: that of the known member if nothing has
+    /// changed, otherwise its own if that is newer, otherwise `read`.
     fn with_change_version(&self, member: Member, read: u64) -> Member {
         let known = self.members.get(&member.id);
         let before = known.map_or(0, |known| known.changed);
@@ -343,14 +343,15 @@
         Member { changed, ..member }
     }
 
-    /// Drops a member that nobody waits for any more.
+    /// Removes a member and remembers the version of its last change as no longer stored.
     fn remove(&mut self, id: &str) {
         let removed = self.members.remove(id);
         let changed = removed.map_or(0, |member| member.changed);
         self.forgotten_version = self.forgotten_version.max(changed);
     }
 
-    /// Drops members whose entries went away so long ago that nobody waits for them.
+    /// Removes members that have been gone for longer than [`GONE_RETENTION`]: no task waits for
+    /// them any more.
     fn remove_expired_gone(&mut self, now: Instant) {
         let is_past = |member: &Member| match member.state {
             MemberState::Gone(known) => now.duration_since(known.learned_at) > GONE_RETENTION,
@@ -362,8 +363,8 @@
         past.iter().for_each(|id| self.remove(id));
     }
 
-    /// A member that was leaving already has been so since then: where the store was `restored`
-    /// from a copy, whatever that says.
+    /// Keeps the departure of a member that was already leaving. If the store was `restored` from a
+    /// backup, the member stays leaving even if its entry no longer says so.
     fn with_kept_departure(&self, mut member: Member, restored: bool) -> Member {
         let before = self.members.get(&member.id).map(|known| known.state);
         let leaves = matches!(member.state, MemberState::Leaving(_));
@@ -375,7 +376,7 @@
         member
     }
 
-    /// Whether another server's entry stands for the address of `member`.
+    /// Whether another server has an entry with the address of `member`.
     fn is_replaced(&self, member: &Member) -> bool {
         let mut others = self.members.values();
         others.any(|other| {
@@ -383,8 +384,8 @@
         })
     }
 
-    /// The directory without the lapses that have lasted too long by `now`: those members
-    /// have gone. `None` where there are none.
+    /// The directory with members whose lapse has lasted too long by `now` marked as gone; `None`
+    /// if there are none.
     pub fn without_expired_lapses(&self, now: Instant) -> Option<Self> {
         let over = |member: &&Arc<Member>| match member.state {
             MemberState::Lapsed(departure) => !departure.is_lapse(now),
@@ -396,13 +397,14 @@
         }
         let mut next = self.clone();
         for member in over {
-            // The change was told already; that nothing came of it is noticed by everybody.
+            // Keeps the version: the lapse was recorded as a change, and every process detects its
+            // expiry by itself.
             next.record_gone(&member, Departure::at(now), member.changed);
         }
         Some(next.regrouped())
     }
 
-    /// Takes it that the entry of `member` went away with the version `changed`.
+    /// Records that the entry of `member` was removed in the version `changed`.
     fn record_gone(&mut self, member: &Arc<Member>, departure: Departure, changed: u64) {
         let now = departure.learned_at;
         let departure = match member.state {
@@ -416,7 +418,7 @@
         };
         let changed = match member.has_entry() {
             true => changed,
-            // Nothing new.
+            // It was missing already, so this is no change.
             false => member.changed,
         };
         if departure.is_lapse(now) && !self.is_replaced(member) {
@@ -442,16 +444,16 @@
     }
 }
 
-/// One change of the entries.
+/// A change of one entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DirectoryChange {
-    /// An entry is there, new or changed.
+    /// An entry was added or changed.
     Present(Member),
-    /// An entry has gone.
+    /// An entry was removed.
     Gone {
-        /// Whose.
+        /// The member whose entry it was.
         id: MemberId,
-        /// The store's version of the change.
+        /// The store's version of the removal.
         changed: StoreVersion,
     },
 }
--- a/crates/engine/src/group/mod.rs
+++ b/crates/engine/src/group/mod.rs
@@ -1,19 +1,19 @@
-//! What this process believes of one group: who leads it, for how long that may be
-//! relied on, and which log position covers which moment.
+//! What this process knows about one group: who leads it, for how long that may be relied on, and
+//! which log position covers which point in time.
 //!
-//! Who may believe what, for how long, on which evidence:
+//! Each piece of knowledge rests on evidence and is valid for a limited time:
 //!
-//! | belief | evidence | lasts |
+//! | Knowledge | Evidence | Valid |
 //! | --- | --- | --- |
-//! | the leader of the epoch has not been superseded | a read of the store, begun at `t`, that shows no later epoch | until `t` + [`TERM_LEASE`] |
-//! | the same | a commit sent to it at `t` and acknowledged after a replica had received it | until `t` + [`TERM_LEASE`] |
-//! | position `p` covers every commit acknowledged before `t` | the leader's log was at `p` in its answer to what was sent at `t`, while the first belief held | for ever |
-//! | the same | `p` is the highest position received by all members but one, each asked after `t` | for ever |
+//! | the leader of the epoch has not been superseded | a read of the store, started at `t`, that shows no later epoch | until `t` + [`TERM_LEASE`] |
+//! | the same | a commit sent to the leader at `t` and acknowledged after a replica had received it | until `t` + [`TERM_LEASE`] |
+//! | position `p` covers every commit acknowledged before `t` | the leader's log was at `p` in its answer to a command sent at `t`, while the first row held | forever |
+//! | the same | `p` is the highest position received by all members but one, each queried after `t` | forever |
 //!
-//! The first two are safe because a promotion becomes usable only [`TERM_LEASE`] after
-//! every replica that could receive from the old leader was paused, and after the
-//! record of the new epoch was written: both pieces of evidence are older than that.
-//! All times are of the monotonic clock, taken before the call that brought the evidence.
+//! The first two rows are safe because a new leader becomes usable only [`TERM_LEASE`] after every
+//! replica that could receive from the old leader was paused, and after the record of the new
+//! epoch was written: both kinds of evidence are older than that. All times are readings of the
+//! monotonic clock taken before the call that returned the evidence.
 
 mod samples;
 
@@ -27,57 +27,57 @@
 use tokio::sync::{Mutex as AsyncMutex, watch};
 use tokio::time::Instant;
 
-/// How long evidence for a leader's term lasts. A promotion waits at least as long
-/// after the fence before the new leader is used.
+/// How long evidence for a leader's term is valid. A promotion waits at least this long after
+/// fencing before the new leader is used.
 pub const TERM_LEASE: Duration = Duration::from_millis(400);
-/// What the waiting side adds to [`TERM_LEASE`], for clocks that run at unequal rates.
+/// Added to [`TERM_LEASE`] by the waiting side, to allow for clocks running at different rates.
 pub const TERM_LEASE_MARGIN: Duration = Duration::from_millis(25);
 
-/// Number of a leadership as the store's records count it. Zero before any promotion.
+/// Number of a leadership according to the store's records. Zero before any promotion.
 pub type Epoch = u64;
 
-/// Where a group's leadership stands, as far as this process knows.
+/// State of a group's leadership, as far as this process knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaderView {
-    /// The leadership's number.
+    /// The epoch of the leadership.
     pub epoch: Epoch,
     /// The leader, or the member that is being promoted.
     pub leader: Option<MemberId>,
-    /// From when on the leader may be given writes; `None` while the next leader is
-    /// not chosen.
+    /// From when on writes may be sent to the leader; `None` while the next leader has not been
+    /// chosen.
     pub writable_from: Option<Instant>,
-    /// Whether the leader is known to have taken the lead.
+    /// Whether the leader is known to have taken over.
     pub confirmed: bool,
-    /// What the leader's log held when it was chosen; `None` where nobody was ever promoted.
+    /// Position of the leader's log when it was chosen; `None` if no member was ever promoted.
     pub position_when_chosen: Option<LogPosition>,
 }
 
 impl LeaderView {
-    /// The leader, or the member that is being promoted; `None` while the leader before is
-    /// fenced off and no other is chosen.
+    /// The leader, or the member that is being promoted; `None` while the previous leader is
+    /// being fenced and no other is chosen.
     pub fn target(&self) -> Option<&MemberId> {
         self.leader
             .as_ref()
             .filter(|_| self.writable_from.is_some())
     }
 
-    /// Whether `leader` leads, or goes on leading until it is fenced off.
+    /// Whether `leader` leads, possibly while it is being fenced.
     fn is_led_by(&self, leader: &UsableLeader) -> bool {
         self.epoch == leader.epoch && self.leader.as_ref() == Some(&leader.member)
     }
 
-    /// Whether `leader` leads, or is being promoted, and is not being fenced off.
+    /// Whether `leader` leads or is being promoted, and is not being fenced.
     fn is_target(&self, leader: &UsableLeader) -> bool {
         self.is_led_by(leader) && self.writable_from.is_some()
     }
 }
 
-/// A leader to be used now.
+/// A leader that may be used now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UsableLeader {
     /// The member.
     pub member: MemberId,
-    /// Its epoch.
+    /// The epoch in which it leads.
     pub epoch: Epoch,
 }
 
@@ -90,7 +90,7 @@
     commits_stalled: bool,
 }
 
-/// The beliefs about one group, shared by all tasks.
+/// What this process knows about one group, shared by all tasks.
 #[derive(Debug)]
 pub struct Group {
     name: GroupName,
@@ -101,7 +101,7 @@
 }
 
 impl Group {
-    /// A group of which nothing is known.
+    /// Creates a group about which nothing is known.
     pub fn new(name: GroupName) -> Self {
         let view = LeaderView {
             epoch: 0,
@@ -130,29 +130,28 @@
         &self.name
     }
 
-    /// Held by the task that asks members on behalf of all.
+    /// Lock held by the task that queries the members on behalf of all tasks.
     pub fn query_lock(&self) -> &AsyncMutex<()> {
         &self.query_lock
     }
 
-    /// Where its leadership stands.
+    /// The state of its leadership.
     pub fn view(&self) -> LeaderView {
         self.lock().view.clone()
     }
 
-    /// Tells of each change of the view.
+    /// Notifies of each change of the view.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Tells of new evidence that commits have brought.
+    /// Notifies of new evidence that does not come from the store: commits and other processes.
     pub fn subscribe_evidence(&self) -> watch::Receiver<u64> {
         self.evidence_changes.subscribe()
     }
 
-    /// Takes a record of the store. `begun` is when a read that showed the newest record
-    /// was begun; it is `None` where another may have been newer. Returns whether the view
-    /// has changed.
+    /// Applies a record of the store. `begun` is when a read that returned the newest record was
+    /// started, or `None` if a newer record may exist. Returns whether the view has changed.
     pub fn apply_record(&self, record: &TermRecord, begun: Option<Instant>, now: Instant) -> bool {
         let mut state = self.lock();
         let known = state.view.epoch;
@@ -174,8 +173,9 @@
         self.publish(before, &state)
     }
 
-    /// Takes that nobody was ever promoted, and that `leader` says it leads. `begun` is
-    /// when a read of the store was begun that showed the first.
+    /// Applies that no member was ever promoted and that `leader` reports to be the leader.
+    /// `begun` is when the read of the store that showed the former was started. Returns whether
+    /// the view has changed.
     pub fn apply_initial_leader(&self, leader: Option<MemberId>, begun: Option<Instant>) -> bool {
         let mut state = self.lock();
         if state.view.epoch > 0 {
@@ -191,7 +191,7 @@
         self.publish(before, &state)
     }
 
-    /// The member that may be given writes at `now`.
+    /// The leader to which writes may be sent at `now`.
     pub fn writable_leader(&self, now: Instant) -> Option<UsableLeader> {
         let state = self.lock();
         let from = state.view.writable_from?;
@@ -201,8 +201,8 @@
         usable_leader(&state.view)
     }
 
-    /// The member that holds, at `now`, every commit acknowledged longer than
-    /// `staleness` ago, by the evidence for its term.
+    /// The leader that, according to the evidence for its term, has at `now` every commit
+    /// acknowledged more than `staleness` ago.
     pub fn leased_leader(&self, now: Instant, staleness: Duration) -> Option<UsableLeader> {
         let state = self.lock();
         let expires_at = state.evidence? + TERM_LEASE + staleness;
@@ -212,46 +212,46 @@
         usable_leader(&state.view)
     }
 
-    /// `member` as the leader, if it is known to lead now.
+    /// `member` as a leader, if it is known to lead.
     pub fn as_leader(&self, member: &MemberId) -> Option<UsableLeader> {
         let state = self.lock();
         usable_leader(&state.view).filter(|leader| state.view.confirmed && leader.member == *member)
     }
 
-    /// When the newest evidence for the leader's term was begun.
+    /// The time as of which the newest evidence for the leader's term holds.
     pub fn evidence(&self) -> Option<Instant> {
         self.lock().evidence
     }
 
-    /// Notes that a commit was sent to the leader at `sent`.
+    /// Records that a commit was sent to the leader at `sent`.
     pub fn record_commit_sent(&self, sent: Instant) {
         self.lock().commit_waiting_since.get_or_insert(sent);
     }
 
-    /// Notes that a replica receives what the leader commits.
+    /// Records that a replica receives the leader's commits.
     pub fn record_replication_working(&self) {
         let mut state = self.lock();
         state.commit_waiting_since = None;
         state.commits_stalled = false;
     }
 
-    /// Notes that no replica receives what the leader commits.
+    /// Records that no replica receives the leader's commits.
     pub fn record_replication_stalled(&self) {
         self.lock().commits_stalled = true;
     }
 
-    /// Whether a commit that is sent now is known to get no acknowledgement.
+    /// Whether a commit sent now is known not to be acknowledged.
     pub fn commits_stalled(&self) -> bool {
         self.lock().commits_stalled
     }
 
-    /// Since when commits were sent and none was acknowledged.
+    /// Since when commits have been outstanding without any being acknowledged.
     pub fn commit_waiting_since(&self) -> Option<Instant> {
         self.lock().commit_waiting_since
     }
 
-    /// Takes an acknowledged commit that `leader` was sent at `sent`. It is evidence for
-    /// the term only where a replica had to receive it.
+    /// Records an acknowledged commit that was sent to `leader` at `sent`. It is evidence for the
+    /// term only if a replica had to receive it before the acknowledgement (`replicated`).
     pub fn record_commit(
         &self,
         leader: &UsableLeader,
@@ -278,10 +278,10 @@
         }
     }
 
-    /// Takes the position of the log of `leader` from its answer to what was sent at `sent`.
+    /// Records the log position that `leader` reported in its answer to a command sent at `sent`.
     ///
-    /// It must still be the leader: evidence for the next one, of the same epoch, says
-    /// nothing of what had been acknowledged when the question was sent.
+    /// Ignored unless it is still the leader: evidence for the next leader of the same epoch says
+    /// nothing about what had been acknowledged when the command was sent.
     pub fn record_leader_position(
         &self,
         leader: &UsableLeader,
@@ -299,9 +299,9 @@
         }
     }
 
-    /// The position that the log of `leader` is known to have reached. Its server may start again
-    /// with nothing before any statement has told one of this epoch: then it is what the leader
-    /// held when it was chosen.
+    /// The position that the log of `leader` is known to have reached, which is at least the one
+    /// at which it was chosen: the server may restart with an empty log before any answer of this
+    /// epoch has reported a position.
     pub fn known_position(&self, leader: &UsableLeader) -> Option<LogPosition> {
         let state = self.lock();
         let newest = state.samples.newest();
@@ -313,7 +313,7 @@
         sampled.map(|sample| sample.position).max(chosen)
     }
 
-    /// Takes evidence for the term of `leader` that another process had at `at`.
+    /// Records evidence for the term of `leader` that another process had as of `at`.
     pub fn record_evidence(&self, leader: &UsableLeader, at: Instant) {
         let mut state = self.lock();
         if state.view.is_target(leader) {
@@ -322,19 +322,19 @@
         }
     }
 
-    /// The newest position that is known to cover a moment, of whatever epoch.
+    /// The newest position known to cover a point in time, of any epoch.
     pub fn newest_position(&self) -> Option<LogPosition> {
         self.lock().samples.newest().map(|sample| sample.position)
     }
 
-    /// The newest moment that a position is known to cover.
+    /// The sample of the current epoch that covers the latest time.
     pub fn newest_sample(&self) -> Option<PositionSample> {
         let state = self.lock();
         let newest = state.samples.newest()?;
         (newest.epoch == state.view.epoch).then_some(newest)
     }
 
-    /// What another process is told of the positions that cover moments, oldest first.
+    /// Samples of the current epoch to share with other processes, oldest first.
     pub fn samples_to_share(&self) -> Vec<PositionSample> {
         let state = self.lock();
         let mut shared = state.samples.samples_to_share();
@@ -342,10 +342,10 @@
         shared
     }
 
-    /// Takes a position that is said to cover what was acknowledged before `at`.
+    /// Records a position that is reported to cover everything acknowledged before `at`.
     ///
-    /// One lower than a position that covers an earlier moment can't cover a later one:
-    /// those who told it lack a log that has left with its member.
+    /// Ignored if it is lower than a position that covers an earlier time, since it then cannot
+    /// cover a later one: the members that reported it lack a log that left with its member.
     pub fn record_covering_position(&self, at: Instant, position: LogPosition) {
         let mut state = self.lock();
         let epoch = state.view.epoch;
@@ -364,7 +364,7 @@
         state.samples.record(sample);
     }
 
-    /// Notes that `leader` acts as one.
+    /// Records that `leader` acts as the leader.
     pub fn confirm_leader(&self, leader: &UsableLeader) {
         let mut state = self.lock();
         if state.view.is_target(leader) && !state.view.confirmed {
@@ -374,8 +374,8 @@
         }
     }
 
-    /// A position that covers every commit acknowledged before `moment`; the lowest
-    /// known, so that the most replicas have reached it.
+    /// A position that covers every commit acknowledged before `moment`: the lowest known, which
+    /// most replicas have reached.
     pub fn covering_position(&self, moment: Instant) -> Option<LogPosition> {
         self.lock().samples.covering(moment)
     }
@@ -400,11 +400,11 @@
     })
 }
 
-/// The view after `record`, seen at `now`.
+/// The view that results from `record`, applied at `now`.
 fn next_view(before: &LeaderView, record: &TermRecord, now: Instant) -> LeaderView {
     let same_epoch = before.epoch == record.epoch;
     let (leader, writable_from, confirmed) = match record.phase {
-        // The old leader goes on serving reads until the evidence for its term lapses.
+        // The old leader keeps serving reads until the evidence for its term expires.
         TermPhase::Fencing => (before.leader.clone(), None, before.confirmed),
         TermPhase::Promoting => {
             let unchanged = same_epoch && before.leader == record.target;
--- a/crates/engine/src/group/samples.rs
+++ b/crates/engine/src/group/samples.rs
@@ -1,4 +1,4 @@
-//! Positions that are known to cover moments.
+//! History of log positions known to cover points in time.
 
 use crate::group::Epoch;
 use crate::position::LogPosition;
@@ -6,26 +6,28 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Every commit acknowledged before `at` lies at or below `position`.
+/// States that every commit acknowledged before `at` is at or below `position`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PositionSample {
-    /// The position.
+    /// The log position.
     pub position: LogPosition,
-    /// The moment.
+    /// The covered point in time.
     pub at: Instant,
     /// The epoch in which the position was learned.
     pub epoch: Epoch,
 }
 
-/// Least time between two samples that are kept.
+/// Minimum interval between stored samples.
 const SPACING: Duration = Duration::from_millis(60);
-/// The same for samples that are told to other processes, and how many these are.
+/// Minimum interval between samples that are shared with other processes, and their maximum
+/// number.
 const SHARED_SPACING: Duration = Duration::from_millis(300);
 const MAX_SHARED: usize = 10;
-/// Greatest number of samples kept: more than any staleness that routes allow needs.
+/// Maximum number of stored samples, more than needed for the largest staleness that routes
+/// allow.
 const CAPACITY: usize = 96;
 
-/// A bounded history of samples, oldest first.
+/// Bounded history of samples, oldest first.
 #[derive(Debug, Default)]
 pub struct PositionSamples {
     kept: VecDeque<PositionSample>,
@@ -33,7 +35,7 @@
 }
 
 impl PositionSamples {
-    /// Adds a sample. One that covers no later moment than the newest adds nothing.
+    /// Adds a sample, unless it covers no later time than the newest one.
     pub fn record(&mut self, sample: PositionSample) {
         let adds = self
             .newest
@@ -54,8 +56,8 @@
         }
     }
 
-    /// Samples for another process, oldest first: the newest, and earlier ones of its epoch
-    /// some time apart.
+    /// Samples to share with another process, oldest first: the newest one, and earlier ones of
+    /// its epoch at intervals of at least [`SHARED_SPACING`].
     pub fn samples_to_share(&self) -> Vec<PositionSample> {
         let Some(newest) = self.newest else {
             return Vec::new();
@@ -73,13 +75,13 @@
         shared
     }
 
-    /// The sample that covers the latest moment.
+    /// The sample that covers the latest time.
     pub fn newest(&self) -> Option<PositionSample> {
         self.newest
     }
 
-    /// The oldest position that covers `moment`; one of the newest epoch if there is any,
-    /// since the end of an earlier epoch's log may have been lost with its leader.
+    /// The oldest position that covers `moment`, preferably one of the newest epoch, since the
+    /// tail of an earlier epoch's log may have been lost with its leader.
     pub fn covering(&self, moment: Instant) -> Option<LogPosition> {
         let newest = self.newest.filter(|sample| sample.at >= moment)?;
         let covering = self.kept.partition_point(|sample| sample.at < moment);
--- a/crates/engine/src/residency.rs
+++ b/crates/engine/src/residency.rs
@@ -1,8 +1,8 @@
-//! Where statements may run: routes and tenants may name their home regions.
+//! Data residency: restricts where statements may run to the home regions of routes and tenants.
 //!
-//! A member or a process that a statement is given to is [`Allowed`]: only
-//! [`Residency::admit`] and [`Residency::select`] make such a value, and whatever takes a
-//! caller's statement further takes nothing else.
+//! A member or process that receives a statement is wrapped in [`Allowed`]. Only
+//! [`Residency::admit`] and [`Residency::select`] create such a value, and all code that forwards
+//! a caller's statement accepts nothing else.
 
 use crate::configuration::Configuration;
 use crate::directory::Member;
@@ -13,18 +13,18 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The regions in which statements may run and through whose processes they may pass.
+/// The regions in which statements may run and whose processes may forward them.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub struct Residency {
-    /// `None` for any region.
+    /// `None` allows any region.
     regions: Option<Arc<BTreeSet<RegionName>>>,
 }
 
 impl Residency {
-    /// Any region will do.
+    /// Allows any region.
     pub const ANYWHERE: Self = Self { regions: None };
 
-    /// Only `regions`; any region where there are none.
+    /// Allows only `regions`, or any region if `regions` is empty.
     ///
     /// ```
     /// use stilequay_engine::residency::Residency;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Whether statements may run in `region`; `None` stands for a region that is not known.
+    /// Whether statements may run in `region`; `None` stands for an unknown region.
     pub fn allows(&self, region: Option<&str>) -> bool {
         let Some(regions) = &self.regions else {
             return true;
@@ -49,12 +49,12 @@
         region.is_some_and(|region| regions.contains(region))
     }
 
-    /// Whether any region will do.
+    /// Whether any region is allowed.
     pub fn is_anywhere(&self) -> bool {
         self.regions.is_none()
     }
 
-    /// The regions that both allow, which may be none at all.
+    /// The regions that both allow. They may be none, in which case no region is allowed.
     pub fn intersection(&self, other: &Self) -> Self {
         let regions = match (&self.regions, &other.regions) {
             (Some(own), Some(others)) => {
@@ -66,14 +66,15 @@
         Self { regions }
     }
 
-    /// Whether it allows every region that `other` allows.
+    /// Whether this allows every region that `other` allows.
     ///
     /// ```
     /// use stilequay_engine::residency::Residency;
     /// let north = Residency::in_regions(["north".into()]);
     /// let both = Residency::in_regions(["north".into(), "west".into()]);
     /// assert!(both.is_superset_of(&north) && !north.is_superset_of(&both));
-    /// assert!(Residency::ANYWHERE.is_superset_of(&both) && !both.is_superset_of(&Residency::ANYWHERE));
+    /// assert!(Residency::ANYWHERE.is_superset_of(&both));
+    /// assert!(!both.is_superset_of(&Residency::ANYWHERE));
     /// ```
     pub fn is_superset_of(&self, other: &Self) -> bool {
         match (&self.regions, &other.regions) {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// `place`, if it stands where statements may run or pass.
+    /// Wraps `place` if its region is allowed.
     pub fn admit<T: Zoned>(&self, topology: &Topology, place: T) -> Option<Allowed<T>> {
         let region = || topology.region_of(place.zone()).map(AsRef::as_ref);
         let allowed = self.is_anywhere() || self.allows(region());
@@ -93,7 +94,7 @@
         })
     }
 
-    /// Those of `places` that stand where statements may run or pass, in their order.
+    /// Wraps those of `places` whose region is allowed, keeping their order.
     pub fn select<T: Zoned>(
         &self,
         topology: &Topology,
@@ -103,7 +104,7 @@
         places.filter_map(|place| self.admit(topology, place))
     }
 
-    /// The regions that no zone is known to belong to.
+    /// The allowed regions to which no known zone belongs.
     fn unknown_regions(&self, topology: &Topology) -> Vec<RegionName> {
         let regions = self.regions.iter().flat_map(|regions| regions.iter());
         let unknown = regions.filter(|region| !topology.has_region(region));
@@ -111,7 +112,7 @@
     }
 }
 
-/// What stands in a zone.
+/// Something located in a zone.
 pub trait Zoned {
     /// The zone.
     fn zone(&self) -> &str;
@@ -141,7 +142,7 @@
     }
 }
 
-/// A member, a process, or what leads there, that statements may be given to.
+/// A member, a process or a path to one to which statements may be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Allowed<T> {
     inner: T,
@@ -149,17 +150,17 @@
 }
 
 impl<T> Allowed<T> {
-    /// What is allowed.
+    /// The wrapped value.
     pub fn get(&self) -> &T {
         &self.inner
     }
 
-    /// The regions that it was allowed for.
+    /// The regions under which it was allowed.
     pub fn residency(&self) -> &Residency {
         &self.residency
     }
 
-    /// What leads to it and nowhere else.
+    /// Wraps `inner`, which must lead to this place and nowhere else.
     pub(crate) fn with<U>(&self, inner: U) -> Allowed<U> {
         Allowed {
             inner,
@@ -168,8 +169,8 @@
     }
 }
 
-/// Tells of the home regions in `configuration` that no zone belongs to: nothing can run
-/// there. They hold all the same, since a region without zones is safer than any region.
+/// Warns about home regions in `configuration` to which no zone belongs: nothing can run there.
+/// They are enforced nevertheless, since allowing no region is safer than allowing any.
 pub(crate) fn report_unknown_regions(topology: &Topology, configuration: &Configuration) {
     let routes = configuration.routes.iter();
     let routes = routes.map(|(name, route)| ("database", name, &route.residency));
@@ -179,8 +180,8 @@
         let unknown = residency.unknown_regions(topology);
         if !unknown.is_empty() {
             log::warn!(
-                "{kind} {name} has home regions {unknown:?}, to which no zone of the settings \
-                 belongs: nothing of it runs there"
+                "{kind} {name} has home regions {unknown:?} to which no zone in the settings \
+                 belongs: none of its statements can run there"
             );
         }
     }
