--- a/crates/engine/src/directory.rs
+++ b/crates/engine/src/directory.rs
@@ -353,14 +353,14 @@
     /// Removes members that have been gone for longer than [`GONE_RETENTION`]: no task waits for
     /// them any more.
     fn remove_expired_gone(&mut self, now: Instant) {
-        let is_past = |member: &Member| match member.state {
+        let is_expired = |member: &Member| match member.state {
             MemberState::Gone(known) => now.duration_since(known.learned_at) > GONE_RETENTION,
             _ => false,
         };
         let members = self.members.values();
-        let past = members.filter(|member| is_past(member));
-        let past: Vec<MemberId> = past.map(|member| member.id.clone()).collect();
-        past.iter().for_each(|id| self.remove(id));
+        let expired = members.filter(|member| is_expired(member));
+        let expired: Vec<MemberId> = expired.map(|member| member.id.clone()).collect();
+        expired.iter().for_each(|id| self.remove(id));
     }
 
     /// Keeps the departure of a member that was already leaving. If the store was `restored` from a
@@ -387,16 +387,16 @@
     /// The directory with members whose lapse has lasted too long by `now` marked as gone; `None`
     /// if there are none.
     pub fn without_expired_lapses(&self, now: Instant) -> Option<Self> {
-        let over = |member: &&Arc<Member>| match member.state {
+        let is_expired = |member: &&Arc<Member>| match member.state {
             MemberState::Lapsed(departure) => !departure.is_lapse(now),
             _ => false,
         };
-        let over: Vec<Arc<Member>> = self.members.values().filter(over).cloned().collect();
-        if over.is_empty() {
+        let expired: Vec<Arc<Member>> = self.members.values().filter(is_expired).cloned().collect();
+        if expired.is_empty() {
             return None;
         }
         let mut next = self.clone();
-        for member in over {
+        for member in expired {
             // Keeps the version: the lapse was recorded as a change, and every process detects its
             // expiry by itself.
             next.record_gone(&member, Departure::at(now), member.changed);
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -19,7 +19,7 @@
 use crate::rate::permit::Refusals;
 use crate::residency::{Allowed, Residency, report_unknown_regions};
 use crate::slow_start::SlowStarts;
-use crate::slow_start::guard::SlowStartBackEnd;
+use crate::slow_start::back_end::SlowStartBackEnd;
 use crate::telemetry;
 use crate::tenant::TenantPolicy;
 use crate::topology::Topology;
--- a/crates/engine/src/group/mod.rs
+++ b/crates/engine/src/group/mod.rs
@@ -150,9 +150,15 @@
         self.evidence_changes.subscribe()
     }
 
-    /// Applies a record of the store. `begun` is when a read that returned the newest record was
-    /// started, or `None` if a newer record may exist. Returns whether the view has changed.
-    pub fn apply_record(&self, record: &TermRecord, begun: Option<Instant>, now: Instant) -> bool {
+    /// Applies a record of the store. `read_started` is when the read that returned it as the
+    /// newest record was started, or `None` if a newer record may exist. Returns whether the view
+    /// has changed.
+    pub fn apply_record(
+        &self,
+        record: &TermRecord,
+        read_started: Option<Instant>,
+        now: Instant,
+    ) -> bool {
         let mut state = self.lock();
         let known = state.view.epoch;
         if record.epoch < known {
@@ -168,15 +174,19 @@
         }
         state.view = next_view(&before, record, now);
         if record.phase != TermPhase::Fencing {
-            state.evidence = state.evidence.max(begun);
+            state.evidence = state.evidence.max(read_started);
         }
         self.publish(before, &state)
     }
 
     /// Applies that no member was ever promoted and that `leader` reports to be the leader.
-    /// `begun` is when the read of the store that showed the former was started. Returns whether
-    /// the view has changed.
-    pub fn apply_initial_leader(&self, leader: Option<MemberId>, begun: Option<Instant>) -> bool {
+    /// `read_started` is when the read of the store that showed the former was started. Returns
+    /// whether the view has changed.
+    pub fn apply_initial_leader(
+        &self,
+        leader: Option<MemberId>,
+        read_started: Option<Instant>,
+    ) -> bool {
         let mut state = self.lock();
         if state.view.epoch > 0 {
             return false;
@@ -187,7 +197,7 @@
             state.view.confirmed = true;
             state.view.leader = leader;
         }
-        state.evidence = state.evidence.max(begun);
+        state.evidence = state.evidence.max(read_started);
         self.publish(before, &state)
     }
 
--- a/crates/engine/src/pool/health.rs
+++ b/crates/engine/src/pool/health.rs
@@ -27,7 +27,7 @@
     unreachable: Option<Unreachable>,
     busy_until: Option<Instant>,
     slow_start_until: Option<Instant>,
-    lacks: Option<(LogPosition, Instant)>,
+    lacking_position: Option<(LogPosition, Instant)>,
     applied: Option<LogPosition>,
     unanswered_since: Option<Instant>,
     last_contact: Option<Instant>,
@@ -49,7 +49,7 @@
             unreachable: None,
             busy_until: None,
             slow_start_until: None,
-            lacks: None,
+            lacking_position: None,
             applied: None,
             unanswered_since: None,
             last_contact: None,
@@ -120,7 +120,7 @@
 
     /// Records that the member had not replayed `position` yet.
     pub fn record_lag(&mut self, position: LogPosition, now: Instant) {
-        self.lacks = Some((position, now + LAGGING_PAUSE));
+        self.lacking_position = Some((position, now + LAGGING_PAUSE));
     }
 
     /// Records that the member has replayed the log up to `position`.
@@ -160,7 +160,7 @@
         if self.applied.is_some_and(|applied| applied >= position) {
             return false;
         }
-        self.lacks
+        self.lacking_position
             .is_some_and(|(lacked, until)| lacked <= position && now < until)
     }
 }
--- a/crates/engine/src/pool/member.rs
+++ b/crates/engine/src/pool/member.rs
@@ -264,14 +264,14 @@
         acquire_request: &AcquireRequest,
         deadline: Instant,
     ) -> Result<Permit<DatabaseName>, AcquireError> {
-        let began = Instant::now();
-        self.check_reachable(began)?;
+        let started_at = Instant::now();
+        self.check_reachable(started_at)?;
         let database = acquire_request.database.clone();
         let admission = self
             .connections
             .admit(database, acquire_request.limits(), deadline);
         let mut admission = std::pin::pin!(admission);
-        let mut next_check = began + acquire_request.patience;
+        let mut next_check = started_at + acquire_request.patience;
         let admitted = loop {
             tokio::select! {
                 biased;
@@ -285,7 +285,7 @@
             }
         };
         let now = Instant::now();
-        let waited = now.duration_since(began);
+        let waited = now.duration_since(started_at);
         metrics::histogram!("stilequay_stage_seconds", "stage" => "queue").record(waited);
         let mut state = self.lock();
         match &admitted {
@@ -394,8 +394,8 @@
     pub fn record_timeout(&self, sent: Instant) {
         let now = Instant::now();
         self.update_health(|health| health.record_timeout(now.duration_since(sent), now));
-        let heard = self.health().last_contact();
-        if heard.is_none_or(|heard| heard <= sent) {
+        let last_contact = self.health().last_contact();
+        if last_contact.is_none_or(|at| at <= sent) {
             self.close_idle_connections();
         }
     }
--- a/crates/engine/src/pool/set.rs
+++ b/crates/engine/src/pool/set.rs
@@ -133,12 +133,12 @@
         }
     }
 
-    /// Takes all idle connections that satisfy `which`, longest idle first.
-    pub fn take_all(&self, which: impl Fn(&C) -> bool) -> Vec<C> {
+    /// Takes all idle connections that satisfy `predicate`, longest idle first.
+    pub fn take_all(&self, predicate: impl Fn(&C) -> bool) -> Vec<C> {
         let mut idle = self.lock();
         let taken = idle
             .entries
-            .extract_if(.., |entry| which(&entry.connection));
+            .extract_if(.., |entry| predicate(&entry.connection));
         taken.map(|entry| entry.connection).collect()
     }
 
@@ -159,11 +159,11 @@
         self.returned.notified().await;
     }
 
-    /// Number of idle connections that satisfy `which`.
-    pub fn count_idle(&self, which: impl Fn(&C) -> bool) -> usize {
+    /// Number of idle connections that satisfy `predicate`.
+    pub fn count_idle(&self, predicate: impl Fn(&C) -> bool) -> usize {
         let idle = self.lock();
         let entries = idle.entries.iter();
-        entries.filter(|entry| which(&entry.connection)).count()
+        entries.filter(|entry| predicate(&entry.connection)).count()
     }
 
     /// Closes the idle connections that satisfy `expired`.
--- a/crates/engine/src/slow_start/mod.rs
+++ b/crates/engine/src/slow_start/mod.rs
@@ -4,7 +4,7 @@
 //! it sends to a cold member ([`window`]) and sends no more than its share, which is kept in the
 //! store ([`allotment`], [`allot`]). The total therefore holds under any network partition: a
 //! process uses a share only while it knows from the store that the share is its own. Statements
-//! of every origin are counted where they leave the process ([`guard`]).
+//! of every origin are counted where they leave the process ([`back_end`]).
 //!
 //! | Event | Effect |
 //! | --- | --- |
@@ -15,7 +15,7 @@
 
 pub mod allot;
 pub mod allotment;
-pub mod guard;
+pub mod back_end;
 pub mod window;
 
 use crate::configuration::{Configuration, SlowStart};
@@ -69,7 +69,7 @@
 pub struct SlowStarts {
     /// Whether any group has a slow start. Otherwise the rest is unused.
     enabled: AtomicBool,
-    began: Instant,
+    started_at: Instant,
     records_as_of: Mutex<Option<Instant>>,
     returned: Mutex<HashMap<ZoneName, Instant>>,
     known: Mutex<HashMap<GroupName, KnownRecord>>,
@@ -80,7 +80,7 @@
     fn default() -> Self {
         Self {
             enabled: AtomicBool::new(false),
-            began: Instant::now(),
+            started_at: Instant::now(),
             records_as_of: Mutex::default(),
             returned: Mutex::default(),
             known: Mutex::default(),
@@ -194,12 +194,12 @@
     let returned = lock(&engine.slow_starts().returned)
         .get(&member.zone)
         .copied();
-    let told = reported_until(member, slow_start, returned).filter(|until| now < *until);
-    let unsure = may_have_missed_evacuation(engine, now).then(|| now + slow_start.duration);
+    let reported = reported_until(member, slow_start, returned).filter(|until| now < *until);
+    let uncertain = may_have_missed_evacuation(engine, now).then(|| now + slow_start.duration);
     Some(ColdStart {
-        until: told.max(unsure)?,
+        until: reported.max(uncertain)?,
         max_statements: max_statements(slow_start, engine.settings().slow_start),
-        is_reported: told.is_some(),
+        is_reported: reported.is_some(),
     })
 }
 
@@ -247,7 +247,7 @@
     // Read before the allotment, which must be at least this recent.
     let as_of = starts.records_as_of();
     let is_recent = as_of.is_some_and(|at| now <= at + max_record_age(engine));
-    if !is_recent || now < starts.began + WINDOW {
+    if !is_recent || now < starts.started_at + WINDOW {
         return 0;
     }
     let Some((allotment, since)) = starts.allotment(engine, member) else {
@@ -276,9 +276,10 @@
     if allowance(Instant::now()) == Allowance::Unbounded {
         return Ok(None);
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     let passed = engine.slow_starts().gate(id).admit(turn, allowance).await;
-    metrics::histogram!("stilequay_stage_seconds", "stage" => "slow_start").record(began.elapsed());
+    metrics::histogram!("stilequay_stage_seconds", "stage" => "slow_start")
+        .record(started_at.elapsed());
     let outcome = match passed {
         Ok(_) => "sent",
         Err(_) => "refused",
