--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -19,7 +19,7 @@
 use crate::rate::permit::Refusals;
 use crate::residency::{Allowed, Residency, report_unknown_regions};
 use crate::slow_start::SlowStarts;
-use crate::slow_start::guard::GuardedBackEnd;
+use crate::slow_start::back_end::SlowStartBackEnd;
 use crate::telemetry;
 use crate::tenant::TenantPolicy;
 use crate::topology::Topology;
@@ -161,7 +161,7 @@
         let schedule = Schedule::new(settings.evacuation_bound, following.subscribe_proof());
         Arc::new_cyclic(|engine| Self {
             settings,
-            back_end: Arc::new(GuardedBackEnd::new(Weak::clone(engine), back_end)),
+            back_end: Arc::new(SlowStartBackEnd::new(Weak::clone(engine), back_end)),
             peers,
             remote_pools: Mutex::default(),
             homes: Arc::new(homes),
@@ -237,7 +237,7 @@
             let later = current.as_ref().is_none_or(|known| known.version < version);
             if later {
                 // Before anybody learns of it: cold members are counted from then on.
-                self.slow_starts.configured(&configuration);
+                self.slow_starts.apply_configuration(&configuration);
                 *current = Some(Arc::clone(&configuration));
             }
             later
@@ -293,7 +293,7 @@
             if later {
                 changed = current.zones != zones;
                 // First: the zone's members are cold by the moment at which it is open again.
-                self.slow_starts.evacuated(current, &evacuations);
+                self.slow_starts.apply_evacuations(current, &evacuations);
                 self.evacuation_schedule
                     .set_evacuated(&zones, Instant::now());
                 *current = Arc::new(evacuations);
@@ -350,7 +350,7 @@
 
     /// Takes members for gone whose entries have lapsed for too long.
     pub fn expire_lapsed_members(&self) {
-        if let Some(next) = self.directory().after_lapses(Instant::now()) {
+        if let Some(next) = self.directory().without_expired_lapses(Instant::now()) {
             self.set_directory(next);
         }
     }
@@ -358,7 +358,7 @@
     /// Takes `members` into the directory, those of them whose entries it does not know.
     pub fn add_missing_members(&self, members: Vec<Member>) {
         self.directory.send_if_modified(|directory| {
-            let next = directory.remembering(members);
+            let next = directory.with_unknown(members);
             let changed = next.is_some();
             if let Some(next) = next {
                 *directory = Arc::new(next);
@@ -555,7 +555,7 @@
                 let direct = Arc::clone(&self.back_end);
                 let back_end = RemoteBackEnd::new(homes, direct, residency.clone());
                 let pool = MemberPool::remote(Arc::clone(member), Arc::new(back_end));
-                Arc::new(pool.behind(self.gate(member, Sender::Session)))
+                Arc::new(pool.with_gate(self.gate(member, Sender::Session)))
             });
         allowed.with(Arc::clone(pool))
     }
@@ -582,10 +582,10 @@
             return Arc::clone(pool);
         }
         let pool = MemberPool::new(Arc::clone(member), Arc::clone(&self.back_end));
-        let pool = Arc::new(pool.behind(self.gate(member, Sender::Home)));
+        let pool = Arc::new(pool.with_gate(self.gate(member, Sender::Home)));
         pool.set_limit(self.connection_share(member));
-        if self.directory().has_ended(member) {
-            pool.end();
+        if self.directory().has_restarted(member) {
+            pool.retire();
         }
         pools.insert(member.id.clone(), Arc::clone(&pool));
         pool
@@ -613,7 +613,7 @@
         let mut pools = self.pools();
         pools.extend(lock(&self.remote_pools).values().cloned());
         let there = pools.iter().filter(|pool| pool.member().zone == *zone);
-        there.for_each(|pool| pool.close_resting());
+        there.for_each(|pool| pool.close_idle_connections());
     }
 
     /// How far the process is from its end.
@@ -641,10 +641,10 @@
     pub fn close_unused_connections(&self) {
         lock(&self.pools)
             .values()
-            .for_each(|pool| pool.close_unused());
+            .for_each(|pool| pool.close_expired());
         lock(&self.remote_pools)
             .values()
-            .for_each(|pool| pool.close_unused());
+            .for_each(|pool| pool.close_expired());
     }
 
     fn close_obsolete_pools(&self, directory: &Directory) {
@@ -658,8 +658,8 @@
             if !known {
                 pool.close();
                 telemetry::reset_member_gauges(id);
-            } else if directory.has_ended(pool.member()) {
-                pool.end();
+            } else if directory.has_restarted(pool.member()) {
+                pool.retire();
             }
             known
         });
--- a/crates/engine/src/leadership/follower.rs
+++ b/crates/engine/src/leadership/follower.rs
@@ -204,8 +204,11 @@
             let result = match version {
                 None => self.records.read("").await,
                 Some(after) => {
-                    let wait =
-                        following::initial_watch_timeout(became_direct, failures, engine.watch_timeout());
+                    let wait = following::initial_watch_timeout(
+                        became_direct,
+                        failures,
+                        engine.watch_timeout(),
+                    );
                     self.records.watch(after, wait).await
                 }
             };
@@ -223,7 +226,7 @@
                     }
                     version = Some(changes.version);
                     self.advance_version(changes.version);
-                    engine.slow_starts().prove_records(begun);
+                    engine.slow_starts().advance_records_as_of(begun);
                     let now = Instant::now();
                     engine
                         .following()
@@ -386,7 +389,7 @@
                     let record = resolve_acting_leader(&directory, term.record);
                     group.apply_record(&record, None, Instant::now())
                 }
-                None => group.apply_first_leader(first_leader(&directory, &name), None),
+                None => group.apply_initial_leader(first_leader(&directory, &name), None),
             };
             if changed {
                 emit_leader_changed(engine, &group);
@@ -446,7 +449,7 @@
         for name in groups {
             if self.known(name).is_none() {
                 let leader = first_leader(&directory, name);
-                engine.group(name).apply_first_leader(leader, Some(begun));
+                engine.group(name).apply_initial_leader(leader, Some(begun));
             }
         }
     }
--- a/crates/engine/src/leadership/freshness.rs
+++ b/crates/engine/src/leadership/freshness.rs
@@ -8,7 +8,7 @@
 use crate::home;
 use crate::names::are_incarnations_of_same_server;
 use crate::peers;
-use crate::pool::Claim;
+use crate::pool::AcquireRequest;
 use crate::ports::{Command, Control};
 use crate::position::LogPosition;
 use crate::residency::Residency;
@@ -32,7 +32,7 @@
     if let Some(position) = group.covering_position(moment) {
         return Some(position);
     }
-    let _one_at_a_time = timeout_at(until, group.questions().lock()).await.ok()?;
+    let _one_at_a_time = timeout_at(until, group.query_lock().lock()).await.ok()?;
     if let Some(position) = group.covering_position(moment) {
         return Some(position);
     }
@@ -118,7 +118,11 @@
     let member = Residency::ANYWHERE.admit(topology, Arc::clone(member))?;
     let pool = engine.session_pool(&member);
     let until = now + POSITION_TIMEOUT;
-    let mut connection = pool.get().acquire(&Claim::own(), until).await.ok()?;
+    let mut connection = pool
+        .get()
+        .acquire(&AcquireRequest::internal(), until)
+        .await
+        .ok()?;
     let sent = Instant::now();
     let begin = Command::Begin {
         read_only: false,
--- a/crates/engine/src/leadership/roster.rs
+++ b/crates/engine/src/leadership/roster.rs
@@ -196,7 +196,7 @@
 /// Adds recorded members that have no entry to the directory, as gone from now on.
 fn add_missing_as_gone(engine: &Engine, group: &GroupName, roster: Roster) {
     let departure = Departure {
-        learned: Instant::now(),
+        learned_at: Instant::now(),
         earliest: None,
         lapsed_until: None,
     };
--- a/crates/engine/src/pool/connection.rs
+++ b/crates/engine/src/pool/connection.rs
@@ -1,4 +1,4 @@
-//! A connection, what sessions have left on it, and putting it into a session's state.
+//! A pooled connection, the session state that is set on it, and switching that state.
 
 use super::member::MemberPool;
 use super::set::PoolConnection;
@@ -18,25 +18,26 @@
 use tokio::time::{Instant, timeout};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Values that a session has set, by name.
+/// Session values (settings made with `SET`), by name.
 pub type SessionValues = Arc<BTreeMap<Bytes, Bytes>>;
 
-/// Prepared statements that a connection keeps before it is reset.
+/// Maximum number of prepared statements remembered per connection until it is reset. Beyond
+/// it a statement is prepared again each time it is executed.
 const PREPARED_LIMIT: usize = 256;
-/// Longest time for a rollback on a connection that is given up.
+/// Timeout of a rollback on an abandoned connection.
 const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A statement of a session, ready to run anywhere.
+/// A statement of a session that can run on any connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Work {
-    /// A text.
+pub enum SessionStatement {
+    /// Statement text.
     Text {
-        /// The whole of it.
+        /// The complete text.
         text: Bytes,
-        /// Whether running it can change data.
+        /// Whether the statement can change data.
         access: Access,
     },
-    /// A prepared statement with its arguments.
+    /// A prepared statement and its arguments.
     Prepared {
         /// The statement.
         prepared: PreparedStatement,
@@ -46,21 +47,21 @@
 }
 
 quick_error! {
-    /// Work got no answer.
+    /// A statement got no answer.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum RunError {
-        /// The connection failed before the work was sent. Not run.
-        Before(error: BackEndConnectionError) {
+        /// The connection failed before the statement was sent, so it was not run.
+        BeforeSend(error: BackEndConnectionError) {
             display("before the statement was sent: {error}")
         }
-        /// The connection failed after the work was sent. It may have run.
-        After(error: BackEndConnectionError) {
+        /// The connection failed after the statement was sent, so it may have run.
+        AfterSend(error: BackEndConnectionError) {
             display("after the statement was sent: {error}")
         }
     }
 }
 
-/// An open connection and what is in place on it.
+/// An open connection and the session state that is set on it.
 #[derive(Debug)]
 pub(super) struct Established {
     connection: Box<dyn BackEndConnection>,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Whether what is asked on behalf of `tenant` may go over it.
+    /// Whether the connection may be used on behalf of `tenant`.
     pub(super) fn serves(&self, tenant: Option<&TenantName>) -> bool {
         tenant.is_none() || self.tenant.as_ref() == tenant
     }
@@ -95,13 +96,13 @@
     }
 }
 
-/// A connection in use. Dropped, it goes back to its pool if nothing is unfinished on it,
-/// and is closed otherwise.
+/// A connection in use. When dropped, it returns to its pool if it has no unfinished work, and
+/// is closed otherwise.
 #[derive(Debug)]
 pub struct PooledConnection {
     pool: Arc<MemberPool>,
     established: Option<Established>,
-    clean: bool,
+    is_reusable: bool,
     _permit: Permit<DatabaseName>,
 }
 
@@ -114,19 +115,19 @@
         Self {
             pool,
             established: Some(established),
-            clean: true,
+            is_reusable: true,
             _permit: permit,
         }
     }
 
-    /// Tells the connection for whom it is used next.
+    /// Tells the connection on whose behalf it is used next.
     pub(super) fn admit(&mut self, admission: Admission) {
         if let Some(established) = &mut self.established {
             established.connection.admit(admission);
         }
     }
 
-    /// Waits until the next statement may be sent, where the member is cold.
+    /// Waits until the slow start limit of the member admits the next statement.
     pub(super) async fn pace(&mut self, until: Instant) -> Result<(), Duration> {
         match &mut self.established {
             Some(established) => established.connection.pace(until).await,
@@ -134,17 +135,18 @@
         }
     }
 
-    /// The pool that it belongs to.
+    /// The pool that the connection belongs to.
     pub fn pool(&self) -> &Arc<MemberPool> {
         &self.pool
     }
 
-    /// Puts exactly `values` in place.
+    /// Sets the session values to exactly `values`, resetting the session if any has to go.
     ///
     /// # Errors
     ///
-    /// [`BackEndConnectionError`] where the member did not do so: nothing of a session may run here.
-    pub async fn put_values(
+    /// [`BackEndConnectionError`] if the member did not set them. No statement of the session may run on
+    /// this connection then.
+    pub async fn apply_values(
         &mut self,
         values: &SessionValues,
     ) -> Result<(), BackEndConnectionError> {
@@ -171,32 +173,34 @@
         Ok(())
     }
 
-    /// Runs one command and takes note of the member's health.
+    /// Runs one command and records the outcome in the member's health.
     ///
     /// # Errors
     ///
-    /// [`BackEndConnectionError`] where the answer was not complete: the connection is not used again.
-    /// Also where nothing may be sent to the member.
+    /// [`BackEndConnectionError`] if the answer was incomplete, after which the connection is not reused, or
+    /// if sending to the member is not permitted.
     pub async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError> {
         self.check_sending()?;
         self.pool.gate().count_sent();
         let sent = Instant::now();
-        self.clean = false;
-        self.pool.note(|health| health.sent(sent));
+        self.is_reusable = false;
+        self.pool.update_health(|health| health.record_sent(sent));
         let result = self.established()?.connection.run(command).await;
         let now = Instant::now();
         match &result {
             Ok(answer) => {
-                self.clean = answer.state == TransactionState::Idle;
+                self.is_reusable = answer.state == TransactionState::Idle;
                 let latency = now.duration_since(sent);
-                self.note_answer(answer, latency, now);
+                self.record_answer(answer, latency, now);
                 if command.is_statement() && answer.outcome.is_ok() {
-                    self.pool.note_statement(latency);
+                    self.pool.record_statement(latency);
                 }
             }
-            // The next statement may go through another home.
+            // The failure may be that of the home: the next statement may use another one.
             Err(_) if self.pool.is_remote() => {}
-            Err(_) => self.pool.note(|health| health.unreachable(now)),
+            Err(_) => self
+                .pool
+                .update_health(|health| health.record_unreachable(now)),
         }
         result
     }
@@ -206,48 +210,48 @@
         checked.map_err(|error| BackEndConnectionError::Refused(error.to_string()))
     }
 
-    /// Carries out an order about replication.
+    /// Runs a replication control command.
     ///
     /// # Errors
     ///
-    /// [`BackEndConnectionError`] where there was no report: the connection is not used again.
+    /// [`BackEndConnectionError`] if there was no report, after which the connection is not reused.
     pub async fn control(
         &mut self,
         control: Control,
     ) -> Result<MemberReport, BackEndConnectionError> {
-        self.clean = false;
+        self.is_reusable = false;
         let report = self.established()?.connection.control(control).await?;
-        self.clean = true;
+        self.is_reusable = true;
         Ok(report)
     }
 
-    /// Runs a session's work, preparing its statement first where that is needed.
+    /// Runs a statement of a session, preparing it on this connection first if necessary.
     ///
     /// # Errors
     ///
-    /// [`RunError`] tells whether the work itself was sent.
-    pub async fn run_work(
+    /// [`RunError`] tells whether the statement itself was sent.
+    pub async fn run_statement(
         &mut self,
         id: &RequestId,
-        work: &Work,
+        statement: &SessionStatement,
         after: Option<LogPosition>,
     ) -> Result<Answer, RunError> {
-        let command = self.command(id, work, after).await?;
-        self.check_sending().map_err(RunError::Before)?;
-        let answer = self.run(&command).await.map_err(RunError::After)?;
+        let command = self.command(id, statement, after).await?;
+        self.check_sending().map_err(RunError::BeforeSend)?;
+        let answer = self.run(&command).await.map_err(RunError::AfterSend)?;
         if !is_unknown_prepared(&answer) {
             return Ok(answer);
         }
         self.established()
-            .map_err(RunError::Before)?
+            .map_err(RunError::BeforeSend)?
             .prepared
             .clear();
-        let command = self.command(id, work, after).await?;
-        self.run(&command).await.map_err(RunError::After)
+        let command = self.command(id, statement, after).await?;
+        self.run(&command).await.map_err(RunError::AfterSend)
     }
 
-    /// Rolls an open transaction back in a task of its own, so that the connection can be
-    /// used again.
+    /// Rolls back the open transaction in a background task, so that the connection can be
+    /// reused.
     pub fn roll_back(mut self) {
         tokio::spawn(async move {
             let rolled_back = self.run(&Command::Rollback);
@@ -258,35 +262,35 @@
     async fn command(
         &mut self,
         id: &RequestId,
-        work: &Work,
+        statement: &SessionStatement,
         after: Option<LogPosition>,
     ) -> Result<Command, RunError> {
         let id = id.clone();
-        match work {
-            Work::Text { text, access } => Ok(Command::Run {
+        match statement {
+            SessionStatement::Text { text, access } => Ok(Command::Run {
                 id,
                 text: text.clone(),
                 access: *access,
                 after,
             }),
-            Work::Prepared {
+            SessionStatement::Prepared {
                 prepared,
                 arguments,
             } => Ok(Command::Execute {
                 id,
-                name: self.prepare(prepared).await.map_err(RunError::Before)?,
+                name: self.prepare(prepared).await.map_err(RunError::BeforeSend)?,
                 arguments: arguments.clone(),
                 after,
             }),
         }
     }
 
-    /// The name of `prepared` on this connection.
+    /// The name of `prepared` on this connection, on which it is prepared if necessary.
     async fn prepare(
         &mut self,
         prepared: &PreparedStatement,
     ) -> Result<Bytes, BackEndConnectionError> {
-        let name = connection_name(prepared);
+        let name = prepared_name(prepared);
         let known = &mut self.established()?.prepared;
         if known.contains(&name) {
             return Ok(name);
@@ -303,29 +307,29 @@
         Ok(name)
     }
 
-    /// Runs a command of the engine's own that has to succeed.
+    /// Runs an internal command that has to succeed.
     async fn complete(&mut self, command: &Command) -> Result<(), BackEndConnectionError> {
         let answer = self.run(command).await?;
         match answer.outcome {
             Ok(_) => Ok(()),
             Err(refusal) => {
-                self.clean = false;
+                self.is_reusable = false;
                 let text = String::from_utf8_lossy(&refusal.code).into_owned();
                 Err(BackEndConnectionError::Refused(text))
             }
         }
     }
 
-    fn note_answer(&self, answer: &Answer, latency: Duration, now: Instant) {
-        self.pool.note(|health| {
-            health.answered(latency, now);
+    fn record_answer(&self, answer: &Answer, latency: Duration, now: Instant) {
+        self.pool.update_health(|health| {
+            health.record_answer(latency, now);
             if let Some(position) = answer.position {
-                health.applied(position);
+                health.record_applied(position);
             }
             match answer.outcome.as_ref().err().map(|refusal| refusal.kind) {
-                Some(RefusalKind::Busy | RefusalKind::Shed(_)) => health.busy(now),
-                Some(RefusalKind::SlowStart(wait)) => health.paced(now + wait),
-                Some(RefusalKind::Unreachable) => health.unreachable(now),
+                Some(RefusalKind::Busy | RefusalKind::Shed(_)) => health.record_busy(now),
+                Some(RefusalKind::SlowStart(wait)) => health.record_slow_start(now + wait),
+                Some(RefusalKind::Unreachable) => health.record_unreachable(now),
                 _ => {}
             }
         });
@@ -339,7 +343,7 @@
 
 impl Drop for PooledConnection {
     fn drop(&mut self) {
-        if let (true, Some(established)) = (self.clean, self.established.take()) {
+        if let (true, Some(established)) = (self.is_reusable, self.established.take()) {
             self.pool.give_back(established);
         }
     }
@@ -349,9 +353,9 @@
     matches!(&answer.outcome, Err(refusal) if refusal.kind == RefusalKind::UnknownPrepared)
 }
 
-/// A name made of the statement itself: sessions that prepared the same share it, and no
-/// two statements share one.
-fn connection_name(prepared: &PreparedStatement) -> Bytes {
+/// A name derived from the statement's content: sessions that prepare the same statement share
+/// it, and different statements have different names.
+fn prepared_name(prepared: &PreparedStatement) -> Bytes {
     let mut content = Vec::with_capacity(prepared.shape.len() + 1);
     content.push(prepared.access as u8);
     content.extend_from_slice(&prepared.shape);
--- a/crates/engine/src/pool/member.rs
+++ b/crates/engine/src/pool/member.rs
@@ -1,9 +1,9 @@
-//! The connections to one member.
+//! The connection pool of one member.
 
-use super::claim::{Claim, QUEUE_TIME};
-use super::concurrency::Concurrency;
+use super::acquire_request::{AcquireRequest, QUEUE_TIME};
+use super::concurrency::ConcurrencyLimit;
 use super::connection::{Established, PooledConnection, SessionValues};
-use super::error::{AcquireError, OrderError};
+use super::error::{AcquireError, ControlError};
 use super::health::MemberHealth;
 use super::queue::QueueDelay;
 use super::set::{ConnectionSet, Fit};
@@ -20,66 +20,69 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 
-/// Connections to one member that are in use at a time, before the fleet is known.
-const FIRST_LIMIT: usize = 3;
-/// Statements of one process that go through a member's homes at a time: these bound them.
+/// Limit on the connections to a member in use until the size of the fleet is known.
+const INITIAL_LIMIT: usize = 3;
+/// Limit on the concurrent statements sent through a member's homes, which apply limits of
+/// their own.
 const REMOTE_LIMIT: usize = 256;
-/// Wait for a connection in use where a member accepts no other one.
-const ORDER_WAIT: Duration = Duration::from_millis(200);
-/// Longest time in which a connection opens.
+/// Longest wait of a control command for a pooled connection, if the member accepts no
+/// further one.
+const CONTROL_TIMEOUT: Duration = Duration::from_millis(200);
+/// Timeout for opening a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Pause before another connection is opened after the member's queue was full.
+/// Delay before another connection is opened after the member's queue was full.
 const BUSY_PAUSE: Duration = Duration::from_millis(60);
-/// How long a process holds no more connections than it does, after the member had too many:
-/// one is closed for each that is opened. After a loss of power a member holds those of the
-/// lives before for some seconds.
-const TOO_MANY_PAUSE: Duration = Duration::from_millis(250);
-/// How long an unused connection is kept.
-const IDLE_LIMIT: Duration = Duration::from_millis(2_000);
-/// Interval in which a request that waits looks whether the queue stands by now.
-const LOOK_INTERVAL: Duration = Duration::from_millis(30);
-/// Requests of all databases that wait for a connection, at the most.
+/// How long the number of open connections stays capped after the member reported too many: one
+/// is closed for each that is opened. After a power loss, a member holds the connections
+/// of the processes' previous incarnations for some more seconds.
+const CONNECTION_CAP_TIME: Duration = Duration::from_millis(250);
+/// How long an idle connection is kept.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Interval at which a waiting request checks whether the queue is a standing queue.
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(30);
+/// Maximum number of waiting requests of all databases together.
 const QUEUE_LENGTH: usize = 1_024;
 
 #[derive(Debug)]
 struct PoolState {
-    no_opening_until: Option<Instant>,
-    /// Connections that the member accepts of this process, until a moment.
-    crowded: Option<(usize, Instant)>,
+    open_after: Option<Instant>,
+    /// Number of connections that the member accepts from this process, and until when that
+    /// holds.
+    connection_cap: Option<(usize, Instant)>,
     queue: QueueDelay,
-    concurrency: Concurrency,
+    concurrency: ConcurrencyLimit,
     health: MemberHealth,
 }
 
 impl PoolState {
-    /// Connections that may stand.
+    /// Maximum number of open connections, idle ones included.
     fn share(&self, now: Instant) -> usize {
         let ceiling = self.concurrency.ceiling();
-        let crowded = self.crowded.filter(|(_, until)| now < *until);
-        crowded.map_or(ceiling, |(accepted, _)| accepted.min(ceiling))
+        let connection_cap = self.connection_cap.filter(|(_, until)| now < *until);
+        connection_cap.map_or(ceiling, |(accepted, _)| accepted.min(ceiling))
     }
 }
 
-/// The connections to one member.
+/// The connection pool of one member.
 #[derive(Debug)]
 pub struct MemberPool {
     member: Arc<Member>,
     back_end: Arc<dyn BackEnd>,
     remote: bool,
     gate: Gate,
-    /// The server has started again: a connection would lead to its next life.
-    ended: AtomicBool,
+    /// Set once the server has restarted: a new connection would reach its next incarnation.
+    retired: AtomicBool,
     connections: ConnectionSet<Established, DatabaseName>,
     state: Mutex<PoolState>,
 }
 
 impl MemberPool {
-    /// A pool without connections.
+    /// Creates an empty pool of direct connections.
     pub fn new(member: Arc<Member>, back_end: Arc<dyn BackEnd>) -> Self {
-        Self::with_limit(member, back_end, FIRST_LIMIT, false)
+        Self::with_limit(member, back_end, INITIAL_LIMIT, false)
     }
 
-    /// A pool of connections by way of the member's homes, which bound their number.
+    /// Creates an empty pool of connections through the member's homes, which limit their number.
     pub fn remote(member: Arc<Member>, back_end: Arc<dyn BackEnd>) -> Self {
         Self::with_limit(member, back_end, REMOTE_LIMIT, true)
     }
@@ -95,7 +98,7 @@
             back_end,
             remote,
             gate: Gate::default(),
-            ended: AtomicBool::new(false),
+            retired: AtomicBool::new(false),
             connections: ConnectionSet::new(LimiterSettings {
                 slots: limit,
                 queue_length: QUEUE_LENGTH,
@@ -103,25 +106,25 @@
                 tenant: TenantLimits::default(),
             }),
             state: Mutex::new(PoolState {
-                no_opening_until: None,
-                crowded: None,
+                open_after: None,
+                connection_cap: None,
                 queue: QueueDelay::default(),
-                concurrency: Concurrency::new(limit, Instant::now()),
+                concurrency: ConcurrencyLimit::new(limit, Instant::now()),
                 health: MemberHealth::new(Instant::now()),
             }),
         }
     }
 
-    /// The same, where nothing is sent that `gate` holds back.
-    pub fn behind(self, gate: Gate) -> Self {
+    /// Makes all sending subject to `gate`.
+    pub fn with_gate(self, gate: Gate) -> Self {
         Self { gate, ..self }
     }
 
-    /// Whether anything may be sent to the member now.
+    /// Checks whether anything may be sent to the member now.
     ///
     /// # Errors
     ///
-    /// Why it may not.
+    /// [`MayNotSend`] tells why it may not.
     pub fn check_sending(&self) -> Result<(), MayNotSend> {
         self.gate.check(Instant::now())
     }
@@ -130,32 +133,33 @@
         &self.gate
     }
 
-    /// The member, as it was when the pool was made: its identity and place.
+    /// The member as of the creation of the pool. Its identity and zone are still valid.
     pub fn member(&self) -> &Arc<Member> {
         &self.member
     }
 
-    /// Whether its connections go by way of the member's homes.
+    /// Whether connections go through the member's homes.
     pub fn is_remote(&self) -> bool {
         self.remote
     }
 
-    /// Connections in use.
+    /// Number of connections in use.
     pub fn in_use(&self) -> usize {
         self.load().in_use
     }
 
-    /// How the connections are used, and how many requests wait.
+    /// Number of connections in use and of waiting requests.
     pub fn load(&self) -> Load {
         self.connections.load()
     }
 
-    /// Connections that may be in use now.
+    /// Current limit on the connections in use.
     pub fn limit(&self) -> usize {
         self.lock().concurrency.limit()
     }
 
-    /// Bounds the connections in use. Fewer are reached as those in use come back.
+    /// Changes the upper bound of the connections in use. A lower bound takes effect as
+    /// connections in use are returned.
     pub fn set_limit(&self, limit: usize) {
         let mut state = self.lock();
         state.concurrency.set_ceiling(limit);
@@ -164,8 +168,8 @@
         self.connections.set_slots(slots);
     }
 
-    /// Notes that a statement was answered after `latency`.
-    pub(super) fn note_statement(&self, latency: Duration) {
+    /// Records that a statement was answered after `latency`.
+    pub(super) fn record_statement(&self, latency: Duration) {
         metrics::histogram!("stilequay_stage_seconds", "stage" => "member").record(latency);
         if self.remote {
             return;
@@ -173,7 +177,9 @@
         let waiting = self.connections.load().waiting > 0;
         let mut state = self.lock();
         let before = state.concurrency.limit();
-        state.concurrency.answered(latency, waiting, Instant::now());
+        state
+            .concurrency
+            .record_latency(latency, waiting, Instant::now());
         let slots = state.concurrency.limit();
         drop(state);
         if slots != before {
@@ -181,66 +187,69 @@
         }
     }
 
-    /// What is known of the member.
+    /// The observed health of the member.
     pub fn health(&self) -> MemberHealth {
         self.lock().health.clone()
     }
 
-    /// Notes something of the member.
-    pub fn note(&self, change: impl FnOnce(&mut MemberHealth)) {
+    /// Updates the observed health of the member.
+    pub fn update_health(&self, change: impl FnOnce(&mut MemberHealth)) {
         change(&mut self.lock().health);
     }
 
-    /// A connection, one with the claim's values in place if there is such a one.
+    /// Acquires a connection, preferably one that has the requested session values set.
     ///
     /// # Errors
     ///
-    /// [`AcquireError`] where there is none by `deadline`.
+    /// [`AcquireError`] if no connection is available by `deadline`.
     pub async fn acquire(
         self: &Arc<Self>,
-        claim: &Claim,
+        acquire_request: &AcquireRequest,
         deadline: Instant,
     ) -> Result<PooledConnection, AcquireError> {
-        self.acquire_paced(claim, deadline, deadline).await
+        self.acquire_paced(acquire_request, deadline, deadline)
+            .await
     }
 
-    /// As [`MemberPool::acquire`]; a cold member is waited for until `paced_until` only, where
-    /// it takes no more now.
+    /// Same as [`MemberPool::acquire`], but waits only until `paced_until` for the slow start
+    /// limit of a cold member.
     ///
     /// # Errors
     ///
-    /// As for [`MemberPool::acquire`].
+    /// Same as for [`MemberPool::acquire`].
     pub async fn acquire_paced(
         self: &Arc<Self>,
-        claim: &Claim,
+        acquire_request: &AcquireRequest,
         deadline: Instant,
         paced_until: Instant,
     ) -> Result<PooledConnection, AcquireError> {
         self.check_sending()?;
-        let permit = self.admit(claim, deadline).await?;
-        // The wait may have been long.
+        let permit = self.admit(acquire_request, deadline).await?;
+        // The permission may have been revoked during the wait.
         self.check_sending()?;
-        let mut connection = self.connection(claim, permit, deadline).await?;
-        connection.admit(claim.admission(deadline));
+        let mut connection = self.connection(acquire_request, permit, deadline).await?;
+        connection.admit(acquire_request.admission(deadline));
         let paced = connection.pace(paced_until).await;
         paced.map_err(AcquireError::SlowStart)?;
         Ok(connection)
     }
 
-    /// A connection under `permit`: one that rests, or a new one.
+    /// Takes an idle connection or opens a new one, holding `permit`.
     async fn connection(
         self: &Arc<Self>,
-        claim: &Claim,
+        acquire_request: &AcquireRequest,
         permit: Permit<DatabaseName>,
         deadline: Instant,
     ) -> Result<PooledConnection, AcquireError> {
-        if let Some(established) = self.take_idle(claim.tenant.as_ref(), &claim.values) {
+        if let Some(established) =
+            self.take_idle(acquire_request.tenant.as_ref(), &acquire_request.values)
+        {
             return Ok(self.in_use_connection(established, permit));
         }
         let now = Instant::now();
         self.check_opening(now)?;
-        self.make_room(now)?;
-        let mut opening = self.spawn_open(claim.tenant.clone(), permit);
+        self.evict_excess(now)?;
+        let mut opening = self.spawn_open(acquire_request.tenant.clone(), permit);
         match timeout_at(deadline, &mut opening).await {
             Ok(Ok(opened)) => opened,
             Ok(Err(error)) => Err(AcquireError::Unreachable(error.to_string())),
@@ -248,44 +257,46 @@
         }
     }
 
-    /// Waits for the claim's turn; for no longer than its patience where the queue stands,
-    /// be it before or after the wait began.
+    /// Waits until the request is admitted. While the queue is a standing queue, whether it
+    /// became one before or during the wait, the request waits no longer than its patience.
     async fn admit(
         &self,
-        claim: &Claim,
+        acquire_request: &AcquireRequest,
         deadline: Instant,
     ) -> Result<Permit<DatabaseName>, AcquireError> {
-        let began = Instant::now();
-        self.check_reachable(began)?;
-        let database = claim.database.clone();
-        let admission = self.connections.admit(database, claim.limits(), deadline);
+        let started_at = Instant::now();
+        self.check_reachable(started_at)?;
+        let database = acquire_request.database.clone();
+        let admission = self
+            .connections
+            .admit(database, acquire_request.limits(), deadline);
         let mut admission = std::pin::pin!(admission);
-        let mut look_at = began + claim.patience;
+        let mut next_check = started_at + acquire_request.patience;
         let admitted = loop {
             tokio::select! {
                 biased;
                 admitted = &mut admission => break admitted.map_err(|r| rejection(&r)),
-                () = sleep_until(look_at), if look_at < deadline => {
-                    if self.lock().queue.stands(Instant::now()) {
+                () = sleep_until(next_check), if next_check < deadline => {
+                    if self.lock().queue.is_standing(Instant::now()) {
                         break Err(AcquireError::Shed(self.connections.retry_after()));
                     }
-                    look_at += LOOK_INTERVAL;
+                    next_check += QUEUE_CHECK_INTERVAL;
                 }
             }
         };
         let now = Instant::now();
-        let waited = now.duration_since(began);
+        let waited = now.duration_since(started_at);
         metrics::histogram!("stilequay_stage_seconds", "stage" => "queue").record(waited);
         let mut state = self.lock();
         match &admitted {
-            Ok(_) => state.queue.admitted(waited, now),
-            Err(_) => state.queue.given_up(now),
+            Ok(_) => state.queue.record_admission(waited, now),
+            Err(_) => state.queue.record_timeout(now),
         }
         admitted
     }
 
-    /// Opens a connection in a task of its own: where the one who asked for it gives up,
-    /// the member's work for it is not lost, and the connection goes to the pool.
+    /// Opens a connection in a background task: if the caller gives up, the member's work of
+    /// accepting the connection is not wasted, and the connection goes to the pool.
     fn spawn_open(
         self: &Arc<Self>,
         tenant: Option<TenantName>,
@@ -298,101 +309,105 @@
         })
     }
 
-    /// Opens a connection that is not counted against the pool, for orders and reports.
+    /// Opens a connection without a permit. Control commands use it outside the pool.
     ///
     /// # Errors
     ///
-    /// [`ConnectError`] where it can't be opened in time.
-    async fn open_separately(
+    /// [`ConnectError`] if it cannot be opened in time.
+    async fn open_unpooled(
         &self,
         tenant: Option<&TenantName>,
     ) -> Result<Box<dyn BackEndConnection>, ConnectError> {
-        if self.ended.load(Ordering::Relaxed) {
+        if self.retired.load(Ordering::Relaxed) {
             return Err(ConnectError::WrongMember);
         }
         let connecting = self.back_end.connect(&self.member, tenant);
         let connected = timeout(CONNECT_TIMEOUT, connecting).await;
         let result = connected.unwrap_or(Err(ConnectError::TimedOut));
-        self.note_connect(&result.as_ref().err().cloned());
+        self.record_connect(&result.as_ref().err().cloned());
         result
     }
 
-    /// Gives an order, over a connection that is not in use if there is one. Where the
-    /// member accepts no more connections, one in use is waited for. Orders go to evacuated
-    /// zones too: without its fence a new leader could lack acknowledged commits.
+    /// Sends a control command, over an idle connection if there is one. If the member accepts
+    /// no further connection, waits for one of the pool. Control commands are also sent to
+    /// evacuated zones: a new leader that did not fence the old one there could lack
+    /// acknowledged commits.
     ///
     /// # Errors
     ///
-    /// [`OrderError`] tells whether the member runs.
-    pub async fn order(self: &Arc<Self>, control: Control) -> Result<MemberReport, OrderError> {
+    /// [`ControlError`] tells whether the member is running.
+    pub async fn control(self: &Arc<Self>, control: Control) -> Result<MemberReport, ControlError> {
         if let Some(mut idle) = self.try_idle().await
             && let Ok(report) = idle.control(control).await
         {
             return Ok(report);
         }
-        match self.open_separately(None).await {
+        match self.open_unpooled(None).await {
             Ok(mut connection) => Ok(connection.control(control).await?),
             Err(ConnectError::TooManyConnections) => {
-                let until = Instant::now() + ORDER_WAIT;
-                let claim = Claim::own();
-                let permit = self.admit(&claim, until).await?;
-                let mut connection = self.connection(&claim, permit, until).await?;
+                let until = Instant::now() + CONTROL_TIMEOUT;
+                let acquire_request = AcquireRequest::internal();
+                let permit = self.admit(&acquire_request, until).await?;
+                let mut connection = self.connection(&acquire_request, permit, until).await?;
                 Ok(connection.control(control).await?)
             }
-            Err(error) => Err(OrderError::Connect(error)),
+            Err(error) => Err(ControlError::Connect(error)),
         }
     }
 
     async fn try_idle(self: &Arc<Self>) -> Option<PooledConnection> {
-        let claim = Claim::own();
+        let acquire_request = AcquireRequest::internal();
         let at_once = TenantLimits {
             queue_length: 0,
-            ..claim.limits()
+            ..acquire_request.limits()
         };
-        let until = Instant::now() + ORDER_WAIT;
-        let admission = self.connections.admit(claim.database, at_once, until);
+        let until = Instant::now() + CONTROL_TIMEOUT;
+        let admission = self
+            .connections
+            .admit(acquire_request.database, at_once, until);
         let permit = admission.await.ok()?;
         let established = self.take_idle(None, &SessionValues::default())?;
         Some(self.in_use_connection(established, permit))
     }
 
-    /// Closes unused connections, and those in use as they come back.
+    /// Closes idle connections now, and those in use as they are returned.
     pub fn close(&self) {
         self.connections.close();
     }
 
-    /// Takes it that this life of the member's server has ended: no connection is opened any more.
-    pub fn end(&self) {
-        self.ended.store(true, Ordering::Relaxed);
+    /// Closes the pool because the member's server has restarted: it opens no more connections.
+    pub fn retire(&self) {
+        self.retired.store(true, Ordering::Relaxed);
         self.close();
     }
 
-    /// Closes the connections that are not in use: the member does not answer on them.
-    pub fn lose_idle(&self) {
-        self.close_resting();
-        self.note(|health| health.unreachable(Instant::now()));
+    /// Closes the idle connections and records the member as unreachable, because it does not
+    /// answer.
+    pub fn mark_unreachable(&self) {
+        self.close_idle_connections();
+        self.update_health(|health| health.record_unreachable(Instant::now()));
     }
 
-    /// Notes that what was sent at `sent` was not answered in time. Where the member has said
-    /// nothing at all since, connections that rest are closed: they may have gone silent
-    /// together, and each would cost another request its time.
-    pub fn note_unanswered(&self, sent: Instant) {
+    /// Records that a command sent at `sent` was not answered in time. If the member has sent
+    /// nothing at all since, the idle connections are closed: they may all have gone silent at
+    /// once, and each would make another request time out.
+    pub fn record_timeout(&self, sent: Instant) {
         let now = Instant::now();
-        self.note(|health| health.unanswered(now.duration_since(sent), now));
-        let heard = self.health().heard_at();
-        if heard.is_none_or(|heard| heard <= sent) {
-            self.close_resting();
+        self.update_health(|health| health.record_timeout(now.duration_since(sent), now));
+        let last_contact = self.health().last_contact();
+        if last_contact.is_none_or(|at| at <= sent) {
+            self.close_idle_connections();
         }
     }
 
-    /// Closes the connections that are not in use: nothing is sent on them any more.
-    pub fn close_resting(&self) {
+    /// Closes the idle connections now; those in use stay open.
+    pub fn close_idle_connections(&self) {
         drop(self.connections.take_all(|_| true));
     }
 
-    /// Closes connections that were not used for long.
-    pub fn close_unused(&self) {
-        self.connections.close_idle(|idle| idle.age >= IDLE_LIMIT);
+    /// Closes connections that have been idle for [`IDLE_TIMEOUT`].
+    pub fn close_expired(&self) {
+        self.connections.close_idle(|idle| idle.age >= IDLE_TIMEOUT);
     }
 
     pub(super) fn give_back(&self, established: Established) {
@@ -409,8 +424,8 @@
         PooledConnection::new(Arc::clone(self), established, permit)
     }
 
-    /// The most recently used connection of `tenant` that is still open, with `values` if
-    /// possible.
+    /// Takes the most recently used open connection of `tenant`, preferably one that has
+    /// `values` set.
     fn take_idle(
         &self,
         tenant: Option<&TenantName>,
@@ -427,10 +442,10 @@
         })
     }
 
-    /// Closes connections that rest where one more would be over this process's share of
-    /// those that the member accepts: they are of other tenants. The one that has rested
-    /// longest goes first.
-    fn make_room(&self, now: Instant) -> Result<(), AcquireError> {
+    /// Closes idle connections, longest idle first, while opening one more would exceed this
+    /// process's share of the connections that the member accepts. The idle ones belong to
+    /// other tenants, else one of them would have been taken.
+    fn evict_excess(&self, now: Instant) -> Result<(), AcquireError> {
         let share = self.lock().share(now);
         while self.open_connections() > share {
             if !self.connections.close_oldest() {
@@ -441,13 +456,13 @@
         Ok(())
     }
 
-    /// Connections that stand or are being opened.
+    /// Number of connections that are open or being opened.
     fn open_connections(&self) -> usize {
         self.connections.load().in_use + self.connections.count_idle(|_| true)
     }
 
     async fn open(&self, tenant: Option<TenantName>) -> Result<Established, AcquireError> {
-        let result = self.open_separately(tenant.as_ref()).await;
+        let result = self.open_unpooled(tenant.as_ref()).await;
         metrics::counter!("stilequay_pool_connections_opened_total").increment(1);
         match result {
             Ok(connection) => Ok(Established::new(connection, tenant)),
@@ -468,28 +483,28 @@
 
     fn check_opening(&self, now: Instant) -> Result<(), AcquireError> {
         let state = self.lock();
-        if state.no_opening_until.is_some_and(|until| now < until) {
+        if state.open_after.is_some_and(|until| now < until) {
             return Err(AcquireError::Exhausted);
         }
         Ok(())
     }
 
-    fn note_connect(&self, error: &Option<ConnectError>) {
+    fn record_connect(&self, error: &Option<ConnectError>) {
         let now = Instant::now();
         let open = self.open_connections();
         let mut state = self.lock();
         match error {
-            None => state.health.heard(now),
+            None => state.health.record_contact(now),
             Some(ConnectError::TooManyConnections) => {
-                state.health.heard(now);
-                state.crowded = Some((open.saturating_sub(1), now + TOO_MANY_PAUSE));
+                state.health.record_contact(now);
+                state.connection_cap = Some((open.saturating_sub(1), now + CONNECTION_CAP_TIME));
             }
             Some(ConnectError::Busy) => {
-                state.health.heard(now);
-                state.health.busy(now);
-                state.no_opening_until = Some(now + BUSY_PAUSE);
+                state.health.record_contact(now);
+                state.health.record_busy(now);
+                state.open_after = Some(now + BUSY_PAUSE);
             }
-            Some(_) => state.health.unreachable(now),
+            Some(_) => state.health.record_unreachable(now),
         }
     }
 
@@ -498,7 +513,7 @@
     }
 }
 
-/// Whether a request that was not admitted may try again while it has time.
+/// Maps a rejection: `Exhausted` may be retried until the deadline, `Shed` tells when to retry.
 fn rejection(rejected: &Rejected) -> AcquireError {
     match rejected.reason {
         RejectReason::Deadline | RejectReason::QueueTime => AcquireError::Exhausted,
--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -239,7 +239,11 @@
     }
 
     /// What this process believes of `group`, after a look at what is wanted.
-    async fn group_beliefs(&self, group: GroupName, wanted: RequiredFreshness) -> Vec<GroupSnapshot> {
+    async fn group_beliefs(
+        &self,
+        group: GroupName,
+        wanted: RequiredFreshness,
+    ) -> Vec<GroupSnapshot> {
         if !self.engine.directory().has_group(&group) {
             return Vec::new();
         }
@@ -265,7 +269,7 @@
                 }
             }
         }
-        let covered = group.newest_covering().map(|sample| sample.at);
+        let covered = group.newest_sample().map(|sample| sample.at);
         if wanted == RequiredFreshness::Position && !is_recent(covered, MAX_POSITION_AGE) {
             freshness::ask_leader(&self.engine, group).await;
         }
--- a/crates/engine/src/session/read.rs
+++ b/crates/engine/src/session/read.rs
@@ -15,7 +15,7 @@
 use crate::group::{Group, UsableLeader};
 use crate::leadership::{access, freshness};
 use crate::names::{MemberId, RequestId};
-use crate::pool::{Claim, MemberPool, PooledConnection, RunError, Work};
+use crate::pool::{AcquireRequest, MemberPool, PooledConnection, RunError, SessionStatement};
 use crate::ports::{Answer, Refusal, RefusalKind};
 use crate::position::LogPosition;
 use crate::residency::Residency;
@@ -40,8 +40,8 @@
 #[derive(Debug, Clone)]
 struct ReadJob {
     id: RequestId,
-    work: Work,
-    claim: Claim,
+    work: SessionStatement,
+    acquire_request: AcquireRequest,
     group: Arc<Group>,
     deadlines: StatementDeadlines,
 }
@@ -81,7 +81,7 @@
         &mut self,
         request: &Request,
         route: &Arc<Route>,
-        work: Work,
+        work: SessionStatement,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let group = self.engine.group(&route.group);
@@ -89,7 +89,7 @@
         let job = ReadJob {
             id: request.id.clone(),
             work,
-            claim: self.claim(route),
+            acquire_request: self.acquire_request(route),
             group: Arc::clone(&group),
             deadlines,
         };
@@ -228,7 +228,7 @@
                     }
                     needs_connection = true;
                 }
-                acquired = acquire_first(&self.engine, &targets, &job.claim, job.deadlines.acquire),
+                acquired = acquire_first(&self.engine, &targets, &job.acquire_request, job.deadlines.acquire),
                     if needs_connection && !targets.is_empty() => match acquired {
                         Ok(AcquiredConnection { index, connection }) => {
                             let target = targets.remove(index);
@@ -298,19 +298,21 @@
 ) -> ReadOutcome {
     let pool = target.pool();
     let leader = job.group.as_leader(&pool.member().id);
-    let reached = leader.as_ref().and_then(|at| job.group.reached_by(at));
+    let reached = leader.as_ref().and_then(|at| job.group.known_position(at));
     let sent = Instant::now();
     let running = async {
-        let applied = connection.put_values(&job.claim.values).await;
-        applied.map_err(RunError::Before)?;
-        connection.run_work(&job.id, &job.work, target.after).await
+        let applied = connection.apply_values(&job.acquire_request.values).await;
+        applied.map_err(RunError::BeforeSend)?;
+        connection
+            .run_statement(&job.id, &job.work, target.after)
+            .await
     };
     let answer = match timeout_at(job.deadlines.answer, running).await {
         Ok(Ok(answer)) => answer,
-        Ok(Err(RunError::Before(error))) => return ReadOutcome::NotSent(error.to_string()),
+        Ok(Err(RunError::BeforeSend(error))) => return ReadOutcome::NotSent(error.to_string()),
         Ok(Err(error)) => return ReadOutcome::Lost(error.to_string()),
         Err(_) => {
-            pool.note_unanswered(sent);
+            pool.record_timeout(sent);
             return ReadOutcome::Lost("no answer in time".to_owned());
         }
     };
@@ -348,7 +350,7 @@
 /// Notes that a member lacked the position asked for.
 pub(super) fn record_refusal(pool: &MemberPool, refusal: &Refusal, after: Option<LogPosition>) {
     if let (RefusalKind::Lagging, Some(position)) = (refusal.kind, after) {
-        pool.note(|health| health.lagging(position, Instant::now()));
+        pool.update_health(|health| health.record_lag(position, Instant::now()));
     }
 }
 
