--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -1,4 +1,4 @@
-//! What callers ask for, and what they are answered.
+//! The protocol-independent requests of callers and the replies to them.
 
 use crate::names::RequestId;
 use crate::verdict::Failure;
@@ -9,83 +9,84 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Access {
-    /// It only reads.
+    /// The statement only reads.
     Read,
-    /// It may write.
+    /// The statement may write.
     Write,
 }
 
-/// A caller's statement: its meaning is typed, its text is opaque and passed on unchanged.
+/// A caller's statement. Its kind is parsed; its text is opaque and forwarded unchanged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Statement {
     /// Opens a transaction.
     Begin {
-        /// The transaction is not going to write.
+        /// Whether the caller has declared that the transaction will not write.
         read_only: bool,
     },
     /// Commits the open transaction.
     Commit,
-    /// Rolls the open transaction back.
+    /// Rolls back the open transaction.
     Rollback,
-    /// Reads.
+    /// Runs a query that only reads.
     Read {
-        /// The whole text.
+        /// The full text of the statement.
         text: Bytes,
     },
-    /// Writes.
+    /// Runs a statement that may write.
     Write {
-        /// The whole text.
+        /// The full text of the statement.
         text: Bytes,
     },
-    /// Sets a value of the session.
+    /// Sets a session variable.
     Set {
-        /// The value's name.
+        /// The name of the variable.
         name: Bytes,
-        /// The value.
+        /// The value of the variable.
         value: Bytes,
     },
-    /// Prepares a statement under a name of the session.
+    /// Prepares a statement under a name that is local to the session.
     Prepare {
-        /// The session's name for it.
+        /// The session-local name.
         name: Bytes,
-        /// What it does.
+        /// The statement to prepare.
         prepared: PreparedStatement,
     },
     /// Runs a prepared statement.
     Execute {
-        /// The session's name for it.
+        /// The session-local name.
         name: Bytes,
-        /// Everything behind the name.
+        /// The rest of the request after the name.
         arguments: Bytes,
     },
-    /// Forgets a prepared statement.
+    /// Removes a prepared statement.
     Deallocate {
-        /// The session's name for it.
+        /// The session-local name.
         name: Bytes,
     },
 }
 
-/// A statement that was prepared: equal ones can share a name on a connection.
+/// A prepared statement. Sessions with equal ones share a single server-side name on a pooled
+/// connection.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct PreparedStatement {
-    /// Whether running it can change data.
+    /// Whether executing the statement can change data.
     pub access: Access,
-    /// Its shape, opaque.
+    /// The text of the statement without arguments, opaque to the engine.
     pub shape: Bytes,
 }
 
 /// A caller's request.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// The caller's name for it.
+    /// The caller's identifier for the request.
     pub id: RequestId,
-    /// What is asked.
+    /// The statement to run.
     pub statement: Statement,
-    /// When it had been read in whole. Freshness is judged from here on.
+    /// When the request was completely read. Staleness and deadlines are measured from here.
     pub received: Instant,
 }
 
-/// Where a session or connection stands between two statements.
+/// The transaction state of a session or a connection between two statements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum TransactionState {
     /// No transaction is open.
@@ -96,13 +97,13 @@
     Failed,
 }
 
-/// The answer to a request.
+/// The reply to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
-    /// Rows, byte for byte as a member sent them.
+    /// The rows, byte for byte as the member sent them.
     pub rows: Vec<Bytes>,
-    /// The member's signature (`None` where the engine answered itself), or the failure.
+    /// The member's signature, `None` if the engine answered without a member; or the failure.
     pub outcome: Result<Option<Bytes>, Failure>,
-    /// The session's state from here on.
+    /// The transaction state of the session after the request.
     pub state: TransactionState,
 }
--- a/crates/engine/src/verdict.rs
+++ b/crates/engine/src/verdict.rs
@@ -1,25 +1,25 @@
-//! What a caller is told of a request that has not succeeded.
+//! Failures of requests as they are reported to callers.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::time::Duration;
 
-/// Whether a request that got no regular answer has run.
+/// Whether a request that did not succeed has been run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// Nothing of it is kept, and nothing will be. This is a promise: no byte of it reached
-    /// a member, or the member itself refused it before running it.
+    /// The request has had no effect and will have none. This is a guarantee: no byte of it
+    /// reached a member, or the member refused it before running it.
     NotRun,
-    /// It may have run, or may still run.
+    /// The request may have run, or may still run.
     MayHaveRun,
-    /// It has run; its answer is not available.
+    /// The request has run, but its answer is not available.
     Ran,
 }
 
 impl Verdict {
-    /// Its name in metrics and events.
+    /// Returns the name in metrics and events.
     pub fn name(self) -> &'static str {
         match self {
             Verdict::NotRun => "not_run",
@@ -33,66 +33,66 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FailureReason {
-    /// No route leads from the database that was asked for.
+    /// The configuration has no route for the requested database.
     UnknownDatabase,
-    /// No configuration has been read yet.
+    /// This process has not read a configuration yet.
     NotStarted,
-    /// The credential is no tenant's.
+    /// The credential does not belong to any tenant.
     UnknownCredential,
-    /// The configuration in use may no longer be the newest: this process has not heard of the
-    /// store for too long to serve by it.
+    /// The configuration in use may be outdated: for too long this process has had no proof from
+    /// the store that it is the newest.
     ConfigurationOutdated,
-    /// The tenant has asked for as much as it may.
+    /// The tenant has used up its rate limit.
     RateLimited,
-    /// No process that counts the tenant's requests could be asked.
+    /// No process that counts the tenant's requests could be reached.
     RateUnknown,
-    /// No leader is known or usable now.
+    /// No leader is known, or the known leader cannot be used.
     NoLeader,
-    /// The group's servers stand in zones that are evacuated, or the one that would have to run
-    /// it does and no other can lead.
+    /// All members of the group are in evacuated zones; or the leader is, the request needs it, and
+    /// no other member can take the lead.
     ZoneEvacuated,
-    /// No member that could run it stands in a home region of its route and tenant.
+    /// No member that could run the request is in a home region of its route and tenant.
     OutsideHomeRegions,
-    /// No replica receives commits: none would be acknowledged.
+    /// No replica receives commits, so a commit would not be acknowledged.
     NoReplica,
-    /// No member that is fresh enough can be reached.
+    /// No reachable member is fresh enough.
     NoFreshMember,
-    /// Members or the queue before them are full.
+    /// The members or the queues in front of them are full.
     Overloaded,
-    /// The transaction could not go on and was rolled back.
+    /// The transaction could not continue and was rolled back.
     TransactionLost,
-    /// A transaction rested for longer than allowed and was rolled back.
+    /// The transaction was idle for longer than allowed and was rolled back.
     IdleTransaction,
-    /// This process is stopping.
+    /// This process is shutting down.
     ShuttingDown,
-    /// The member's answer did not come in time.
+    /// The member did not answer in time.
     AnswerTimedOut,
-    /// The connection ended before the member's answer.
+    /// The connection was lost before the member answered.
     ConnectionLost,
-    /// The name was never prepared in this session.
+    /// The session has no prepared statement of this name.
     UnknownPrepared,
-    /// The statement makes no sense in the session's state.
+    /// The statement is not valid in the transaction state of the session.
     OutOfPlace,
-    /// Another leader was seen before the outcome was confirmed.
+    /// The leader was replaced before the outcome was confirmed.
     LeaderReplaced,
-    /// The process that holds the group's connections can't be reached.
+    /// The process that holds the connections to the group cannot be reached.
     HomeUnreachable,
-    /// The group, service or right asked for does not exist.
+    /// The requested group, service or permission does not exist.
     NotPermitted,
-    /// The request asks for what the proxy does not do.
+    /// The proxy does not support the request.
     Unsupported,
-    /// The other side broke the protocol, or a message was over its limit.
+    /// The peer violated the protocol, or a message exceeded its size limit.
     ProtocolViolation,
-    /// The caller asked to give the request up.
+    /// The caller cancelled the request.
     Cancelled,
-    /// The member itself failed the statement after beginning to run it.
+    /// The member began to run the statement and reported an error.
     #[serde(serialize_with = "serialize_member_failure")]
     Member(MemberFailure),
 }
 
 impl FailureReason {
-    /// Its name in metrics; in events it is the same, but for a member's own failure, which
-    /// is told by its code.
+    /// Returns the name in metrics. Events use the same name, except for an error of a member,
+    /// which is written as the member's error code.
     pub fn name(&self) -> &'static str {
         match self {
             FailureReason::UnknownDatabase => "unknown_database",
@@ -125,12 +125,12 @@
     }
 }
 
-/// A member's own failure of a statement, to be passed on as it came.
+/// An error that a member reported for a statement, forwarded unchanged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberFailure {
-    /// The member's code.
+    /// The error code.
     pub code: Bytes,
-    /// The member's text.
+    /// The error message.
     pub text: Bytes,
 }
 
@@ -141,22 +141,23 @@
     serializer.serialize_str(&String::from_utf8_lossy(&failure.code))
 }
 
-/// A request's failure.
+/// The failure of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Failure {
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Why.
+    /// The cause of the failure.
     pub reason: FailureReason,
-    /// When to come back, for a request that has not run.
+    /// Delay after which to retry, for a request that has not run.
     pub retry_after: Option<Duration>,
 }
 
-/// Told to callers whose request met a condition that passes soon.
+/// Retry delay for requests that failed on a condition which is expected to pass soon.
 pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl Failure {
-    /// A failure of a request of which nothing is kept, with a time to come back.
+    /// Creates the failure of a request that has had no effect and may be retried after
+    /// [`DEFAULT_RETRY_AFTER`].
     pub fn not_run(reason: FailureReason) -> Self {
         Self {
             verdict: Verdict::NotRun,
@@ -165,7 +166,7 @@
         }
     }
 
-    /// A failure of a request that was wrong: to repeat it makes no sense.
+    /// Creates the failure of an invalid request, which a retry would not help.
     pub fn rejected(reason: FailureReason) -> Self {
         Self {
             verdict: Verdict::NotRun,
@@ -174,7 +175,7 @@
         }
     }
 
-    /// A failure of a request whose outcome is not known.
+    /// Creates the failure of a request whose outcome is unknown.
     pub fn may_have_run(reason: FailureReason) -> Self {
         Self {
             verdict: Verdict::MayHaveRun,
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Sets when to come back.
+    /// Sets the delay after which to retry.
     pub fn with_retry_after(mut self, delay: Duration) -> Self {
         self.retry_after = Some(delay);
         self
