--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -1,5 +1,5 @@
-//! Which member is to run a read: what speaks against each is added up in milliseconds of
-//! latency, whatever protocol it speaks.
+//! Ranks the members that may run a read by a cost in milliseconds of latency. The ranking does
+//! not depend on the protocol of the back end.
 
 use crate::directory::{Member, MemberState};
 use crate::engine::Engine;
@@ -13,51 +13,54 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// What a member of another zone of the region costs more, ms of latency: links are slower
-/// and dear.
+/// Additional cost of a member in another zone of the same region, in ms of latency: links between
+/// zones are slower and more expensive.
 const OTHER_ZONE_MS: f64 = 18.0;
-/// What a member of another region costs more, ms of latency beyond what is observed: the link
-/// there is shared by all traffic, and its bytes are several times as dear as those between
-/// zones. Eight statements in progress here weigh as much as that at a member of ordinary speed,
-/// so one that is crowded is left for another region before callers wait long.
+/// Additional cost of a member in another region, in ms on top of its observed latency: the link
+/// is shared by all traffic, and its bytes cost several times as much as those between zones.
+/// Eight statements in progress from this process add the same cost at a member of ordinary
+/// speed, so reads move from a crowded member to another region before callers wait long.
 const OTHER_REGION_MS: f64 = 60.0;
-/// What the leader costs more, ms: it has the writes to itself.
+/// Additional cost of the leader in ms: it alone runs the writes.
 const LEADER_MS: f64 = 4.0;
-/// What a cold member costs more once its allowance is used up, ms; in proportion before.
-/// Several times the latency of a warm one: others are filled first.
+/// Additional cost in ms of a cold member whose slow-start allowance is used up; a partly used
+/// allowance costs a proportional share. It is several times the latency of a warm member, so
+/// that other members are filled first.
 const COLD_MS: f64 = 60.0;
-/// What a connection in use here stands for, as a share of one statement's latency.
+/// Cost of each connection that this process has in use at a member, as a share of the member's
+/// latency for one statement.
 const IN_USE_SHARE: f64 = 0.5;
-/// A member that may refuse.
+/// Penalty in ms of a member that may refuse the statement.
 const MAY_REFUSE_MS: f64 = 1_000.0;
-/// A member that is leaving.
+/// Penalty in ms of a member that is leaving.
 const LEAVING_MS: f64 = 10_000.0;
-/// A member that did not answer.
+/// Penalty in ms of a member that did not answer.
 const UNREACHABLE_MS: f64 = 100_000.0;
 
-/// What speaks for and against one member.
+/// The inputs to the cost of running a read at one member.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct MemberCost {
-    /// Time in which it is expected to answer one statement while unloaded, ms.
+    /// Expected latency in ms of one statement while the member is not loaded.
     pub latency_ms: f64,
-    /// Connections in use here.
+    /// Connections to the member that this process has in use.
     pub in_use: usize,
-    /// How far it is.
+    /// Topological distance from this process to the member.
     pub distance: Distance,
-    /// It leads.
+    /// Whether the member leads its group.
     pub is_leader: bool,
-    /// How much is used of what may be sent to it while it is cold; zero where it is not.
+    /// Share of the slow-start allowance that is used up; zero for a member that is not cold.
     pub slow_start_used: f64,
-    /// It may refuse: it is crowded, or lacks what has to be seen.
+    /// Whether the member may refuse: it is overloaded, or its log lags behind the position that
+    /// the read requires.
     pub may_refuse: bool,
-    /// It is leaving.
+    /// Whether the member is leaving.
     pub is_leaving: bool,
-    /// It did not answer lately.
+    /// Whether the member has recently failed to answer.
     pub is_unreachable: bool,
 }
 
 impl MemberCost {
-    /// The sum, ms; the lowest is the best.
+    /// Returns the total cost in ms; the member with the lowest cost is the best.
     ///
     /// ```
     /// use stilequay_engine::routing::MemberCost;
@@ -96,14 +99,15 @@
 /// A member that may run a read.
 #[derive(Debug, Clone)]
 pub struct ReadCandidate {
-    /// Its connections.
+    /// The member's connection pool.
     pub pool: Allowed<Arc<MemberPool>>,
-    /// Whether nothing speaks against its running the read at once.
+    /// Whether the member is expected to run the read at once: its cost includes none of the
+    /// penalties of a member that may refuse, is leaving or is unreachable.
     pub is_preferred: bool,
 }
 
-/// The members that may run a read that needs `after`, those that `residency` allows, the
-/// best first.
+/// Returns the members allowed by `residency` that may run a read which requires the log position
+/// `after`, cheapest first.
 pub fn read_candidates(
     engine: &Engine,
     group: &Group,
@@ -137,15 +141,15 @@
         .collect()
 }
 
-/// Whether statements of sessions may be sent to `member` at `now`.
+/// Returns whether statements of sessions may be sent to `member` at `now`.
 pub fn is_usable(engine: &Engine, member: &Member, now: Instant) -> bool {
     let schedule = engine.evacuation_schedule();
     let may_send = schedule.check(&member.zone, Sender::Session, now).is_ok();
     may_send && !is_use_expired(engine, member.state, now)
 }
 
-/// Whether the next read is to avoid `member`, whose zone is being evacuated: more and more
-/// of them do, so that the members elsewhere have time to take them up.
+/// Returns whether the next read should avoid `member` because its zone is being evacuated. The
+/// share of such reads grows gradually, so that members in other zones can absorb the load.
 fn should_avoid(engine: &Engine, member: &Member, now: Instant) -> bool {
     let share = engine
         .evacuation_schedule()
@@ -153,8 +157,8 @@
     share > 0.0 && rand::random::<f64>() < share
 }
 
-/// Whether a member in `state` must not be used any more: that it leaves may have been
-/// known for too long, also to others only.
+/// Returns whether a member in `state` must no longer be used: its departure may have been known
+/// for longer than the limit, even if only to other processes.
 pub fn is_use_expired(engine: &Engine, state: MemberState, now: Instant) -> bool {
     match state {
         MemberState::Ready | MemberState::Lapsed(_) => false,
