--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -1,4 +1,5 @@
-//! The other side of a link: answers what its process asks, and runs what it forwards.
+//! The serving side of a link between processes: answers the queries of the peer and runs the
+//! statements that it forwards.
 
 use crate::engine::{Engine, StopPhase};
 use crate::events::{Event, millis};
@@ -23,23 +24,25 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout};
 
-/// Commands of one unit that may wait: each is answered before the next comes.
+/// Queue capacity for the commands of one unit. Each command is answered before the peer sends
+/// the next.
 const UNIT_QUEUE_CAPACITY: usize = 4;
-/// Silence after which the other side of a link counts as gone.
+/// Time without a frame after which the peer of a link is considered dead.
 const LINK_TIMEOUT: Duration = Duration::from_secs(60);
-/// Age of evidence that is told as it is; older evidence is renewed first.
+/// Maximum age of leadership evidence that is reported as it is; older evidence is renewed first.
 const MAX_EVIDENCE_AGE: Duration = Duration::from_millis(280);
-/// Age of the moment that a position covers which is told as it is.
+/// Maximum age of the moment covered by a log position that is reported as it is; for an older one
+/// the leader is asked first.
 const MAX_POSITION_AGE: Duration = Duration::from_millis(800);
-/// Longest time for which a question for news waits.
+/// Maximum time for which a long poll for changes waits.
 const MAX_NEWS_WAIT: Duration = Duration::from_secs(10);
-/// Longest wait for something more recent.
+/// Maximum wait for the renewal of outdated information.
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Time after which a forwarded statement counts as late here.
+/// Time after which this process considers a forwarded statement late.
 const LATE_THRESHOLD: Duration = Duration::from_millis(200);
 
-/// A forwarded statement, as events tell of it.
+/// The fields of a forwarded statement that events include.
 struct ForwardedCommand {
     id: Option<RequestId>,
     member: MemberId,
@@ -54,14 +57,14 @@
     }
 }
 
-/// What the tasks of one link share.
+/// State shared by the tasks of one link.
 #[derive(Debug, Clone)]
 struct LinkTask {
     engine: Arc<Engine>,
     tx: mpsc::Sender<Bytes>,
 }
 
-/// Serves one link until it ends.
+/// Serves one link until it is closed.
 pub async fn serve(engine: Arc<Engine>, link: PeerLink) {
     let PeerLink { tx, mut rx } = link;
     let task = LinkTask { engine, tx };
@@ -145,7 +148,7 @@
             }
             Some(ToHome::Ping) => task.send(&FromHome::Pong).await,
             None => {
-                log::warn!("a process said what makes no sense; its link is closed");
+                log::warn!("received an invalid frame from a peer; closing the link");
                 return;
             }
         }
@@ -154,11 +157,12 @@
 
 impl LinkTask {
     async fn send(&self, frame: &FromHome) {
-        // Where the link has ended there is nobody to tell.
+        // The error means that the link is closed, so nobody is left to receive the frame.
         let _ = self.tx.send(encode(frame)).await;
     }
 
-    /// Writes what became of a forwarded statement where that explains a failure.
+    /// Writes an event for a forwarded statement that was late, not sent or lost, to explain a
+    /// failure that the caller may see.
     fn record_outcome(&self, command: &ForwardedCommand, outcome: &HomeOutcome, began: Instant) {
         let elapsed = began.elapsed();
         let (result, reason) = match outcome {
@@ -177,10 +181,10 @@
         });
     }
 
-    /// Gives a command to its unit's task; a new unit gets one.
+    /// Dispatches a command to the task of its unit; spawns the task for a new unit.
     fn dispatch(&self, units: &mut HashMap<UnitId, mpsc::Sender<RunRequest>>, request: RunRequest) {
         if let Some(unit) = units.get(&request.unit) {
-            // A unit has one command at a time: its queue has room.
+            // A unit has at most one command in progress, so its queue has room.
             let _ = unit.try_send(request);
             return;
         }
@@ -190,7 +194,7 @@
         tokio::spawn(async move { task.run_unit(request, rx).await });
     }
 
-    /// Runs a unit from its first command to its end on one connection.
+    /// Runs all commands of a unit, from the first to the last, on one connection.
     async fn run_unit(&self, first: RunRequest, mut rx: mpsc::Receiver<RunRequest>) {
         metrics::counter!("stilequay_home_units_total").increment(1);
         let exchange = first.exchange;
@@ -198,7 +202,7 @@
         let command = ForwardedCommand::new(&first);
         let acquired = tokio::select! {
             acquired = Unit::open(&self.engine, &first) => acquired,
-            // Nobody waits any more.
+            // The peer has closed the unit and no longer waits for the answer.
             None = rx.recv() => return,
         };
         let mut unit = match acquired {
@@ -223,7 +227,7 @@
                 HomeOutcome::Answered(answer) if answer.state != TransactionState::Idle
             );
             if !is_open {
-                // Another unit may have the connection before the answer is read.
+                // Releases the connection to other units before the peer reads the answer.
                 drop(unit);
                 self.send(&FromHome::Ran { exchange, outcome }).await;
                 return;
@@ -237,13 +241,14 @@
         }
     }
 
-    /// What this process believes of `group`, after a look at what is wanted.
+    /// Returns what this process knows of `group`, after renewing the information that `wanted`
+    /// asks for.
     async fn group_beliefs(&self, group: GroupName, wanted: Wanted) -> Vec<GroupBelief> {
         if !self.engine.directory().has_group(&group) {
             return Vec::new();
         }
         let state = self.engine.group(&group);
-        // What can't be renewed in time is told as it is.
+        // Information that cannot be renewed in time is reported as it is.
         let _ = timeout(RENEWAL_TIMEOUT, self.renew(&state, wanted)).await;
         beliefs(&self.engine, &[group])
     }
@@ -255,7 +260,7 @@
             match wanted {
                 Wanted::StoreEvidence => {
                     if !vouching::renew(&self.engine, group).await {
-                        // A failure is told by the task that follows the records.
+                        // Failures are reported by the task that watches the records.
                         let _ = self.engine.terms().refresh(&self.engine, group, now).await;
                     }
                 }
