--- a/crates/engine/src/session/authorization.rs
+++ b/crates/engine/src/session/authorization.rs
@@ -1,16 +1,16 @@
-//! Whether a caller may ask, and on whose behalf.
+//! Authorizes callers and determines their tenant.
 //!
-//! A configuration that this process does not know yet may have added a database or a
-//! credential, or removed one. So each answer rests on a proof of how old the configuration
-//! may be ([`Following::configuration_complete_as_of`]):
+//! A newer configuration that this process does not know yet may have added or removed a database
+//! or a credential. Each decision is therefore based on a proof of how old the configuration in
+//! use may be ([`Following::configuration_complete_as_of`]):
 //!
-//! | the caller's credential, or database | proof within its bound | older proof |
+//! | credential or database | proof within its bound | older proof |
 //! | --- | --- | --- |
-//! | known | served | with a credential: not run, to come back; public, or without tenants: served |
-//! | not known | refused for good, after a moment in which a change may still arrive | not run, to come back |
+//! | known | served | with a credential: not run, may be retried; public route or no tenants: served |
+//! | unknown | rejected, after a short wait in which a change may still arrive | not run, may be retried |
 //!
-//! The bound for a known credential is the time in which its removal must be acted on,
-//! counted to when the statement was read: the caller has sent it before.
+//! The bound for a known credential is the time within which its removal must take effect,
+//! measured up to the time at which the statement was read: the caller sent it earlier.
 //!
 //! [`Following::configuration_complete_as_of`]: crate::following::Following::configuration_complete_as_of
 
@@ -24,19 +24,19 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// How long a caller is held whose database or credential is not known: a change reaches all
-/// processes by way of two others, at 5 to 60 ms each while nothing is amiss.
+/// Maximum wait before a caller with an unknown database or credential is rejected. A change
+/// reaches every process through two others, each of which adds 5 to 60 ms in normal operation.
 const UNKNOWN_NAME_WAIT: Duration = Duration::from_millis(250);
 
-/// The name told to members for callers of public routes without a known credential.
+/// Tenant name sent to members for callers of public routes without a known credential.
 const ANONYMOUS: &str = "-";
 
-/// On whose behalf a caller asks for `database` at `now`; `None` where this deployment has
-/// no tenants.
+/// Returns the tenant of a caller that uses `database` at `now`; `None` if this deployment has no
+/// tenants.
 ///
 /// # Errors
 ///
-/// [`Failure`] where the caller must not be served; nothing has run.
+/// [`Failure`] if the caller must not be served; nothing has run.
 pub(super) fn authorize(
     engine: &Engine,
     database: &DatabaseName,
@@ -53,8 +53,8 @@
     authorize_for_route(engine, &route, credential, now)
 }
 
-/// As [`authorize`], under a route that was chosen before: a transaction keeps the one that
-/// it was begun with, and its caller's credential may go meanwhile.
+/// As [`authorize`], for a known route: a transaction keeps the route that it began with, while
+/// its caller's credential may be removed.
 ///
 /// # Errors
 ///
@@ -68,7 +68,7 @@
     let Some(policy) = &engine.settings().tenants else {
         return Ok(None);
     };
-    // Before the configuration is looked up, which is then no older than this tells.
+    // Read before the configuration, so that the configuration is at least this recent.
     let complete_as_of = engine.following().configuration_complete_as_of();
     let Some(configuration) = engine.configuration() else {
         return Err(Failure::not_run(FailureReason::NotStarted));
@@ -90,7 +90,8 @@
     }
 }
 
-/// As [`authorize`], for a session that opens: what is not known is waited for a moment.
+/// As [`authorize`], for a new session: waits up to [`UNKNOWN_NAME_WAIT`] for a change that adds an
+/// unknown database or credential.
 ///
 /// # Errors
 ///
@@ -118,7 +119,7 @@
             return Err(failure);
         }
         let changed = async {
-            // The senders live as long as the engine.
+            // `changed` cannot fail: the senders live as long as the engine.
             tokio::select! {
                 _ = proof.changed() => {}
                 _ = configuration.changed() => {}
@@ -130,8 +131,9 @@
     }
 }
 
-/// The refusal of what the configuration does not name; for good only where a configuration
-/// that names it could not have been in force for long.
+/// Returns the failure for a database or credential that is not in the configuration. It is final
+/// only if the proof rules out that a newer configuration that contains the name has been in force
+/// for longer than the bound.
 fn unknown_name_failure(engine: &Engine, reason: FailureReason, now: Instant) -> Failure {
     let complete_as_of = engine.following().configuration_complete_as_of();
     match is_within(complete_as_of, engine.settings().configuration_bound, now) {
@@ -140,7 +142,7 @@
     }
 }
 
-/// The refusal of a session whose database has no route any more.
+/// Returns the failure of a session whose database no longer has a route.
 pub(super) fn unknown_database(engine: &Engine) -> Failure {
     unknown_name_failure(engine, FailureReason::UnknownDatabase, Instant::now())
 }
@@ -164,7 +166,7 @@
     })
 }
 
-/// Age of the proof that the configuration in use is the newest, for events.
+/// Returns the age of the proof that the configuration in use is the newest, for events.
 pub(super) fn proof_age(engine: &Engine, now: Instant) -> Option<Duration> {
     let complete_as_of = engine.following().configuration_complete_as_of();
     complete_as_of.map(|at| now.saturating_duration_since(at))
--- a/crates/engine/src/session/evacuated.rs
+++ b/crates/engine/src/session/evacuated.rs
@@ -1,4 +1,4 @@
-//! Refusing at once what no member may be sent.
+//! Rejects statements early if evacuations leave no member that they may be sent to.
 
 use crate::configuration::Consistency;
 use crate::engine::Engine;
@@ -9,12 +9,12 @@
 use crate::verdict::{Failure, FailureReason};
 use tokio::time::Instant;
 
-/// Whether a statement of a route of `consistency` to `group` can be sent to any member, now
-/// or once another one leads.
+/// Checks that a statement of a route with `consistency` can be sent to a member of `group`, now or
+/// after another member has taken the lead.
 ///
 /// # Errors
 ///
-/// The refusal of one that can't; nothing has run.
+/// The [`Failure`] of a statement that cannot; nothing has run.
 pub(super) fn check_route(
     engine: &Engine,
     group: &Group,
@@ -27,8 +27,8 @@
     }
 }
 
-/// The same for what only the leader can run. Where another member can take the lead, it is
-/// waited for.
+/// As [`check_route`], for statements that only the leader can run. If another member can take the
+/// lead, the statement waits for it.
 ///
 /// # Errors
 ///
--- a/crates/engine/src/session/floor.rs
+++ b/crates/engine/src/session/floor.rs
@@ -1,17 +1,17 @@
-//! What a session has written, as its next reads must see it.
+//! Read-your-writes consistency: the log position that the reads of a session must include.
 
 use crate::group::{Epoch, Group};
 use crate::names::GroupName;
 use crate::position::LogPosition;
 use tokio::time::Instant;
 
-/// The session's newest acknowledged commit.
+/// The newest acknowledged commit of a session, which sets the lower bound for its reads.
 #[derive(Debug, Clone, Default)]
 pub struct SessionFloor {
     commit: Option<SessionCommit>,
 }
 
-/// A commit of the session.
+/// An acknowledged commit of the session.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct SessionCommit {
     group: GroupName,
@@ -20,19 +20,19 @@
     acknowledged: Instant,
 }
 
-/// How far a log must have come for the session.
+/// The log position that a member needs to serve reads of the session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FloorRequirement {
-    /// The session has written nothing there.
+    /// The session has not written to the group, so any position will do.
     Unconstrained,
-    /// Anything at or above this position.
+    /// The log must have reached this position.
     Position(LogPosition),
-    /// The leader's log alone is known to hold it.
+    /// Only the leader is known to have the commit.
     LeaderOnly,
 }
 
 impl SessionFloor {
-    /// Takes a commit that the leader of `epoch` has acknowledged by now.
+    /// Records a commit that the leader of `epoch` has just acknowledged.
     pub fn record_commit(
         &mut self,
         group: &GroupName,
@@ -47,11 +47,11 @@
         });
     }
 
-    /// What reads of `group` must see.
+    /// Returns the log position that reads of `group` require.
     ///
-    /// The position told with a commit may count later commits too, and those may be
-    /// lost with the leader: so after a change of leader another position is asked for,
-    /// one that covers the moment of the acknowledgement.
+    /// The position reported with a commit may include later commits, which may be lost together
+    /// with the leader. After a change of leader it is therefore replaced by a position that covers
+    /// the moment of the acknowledgement.
     pub fn requirement(&self, group: &Group) -> FloorRequirement {
         let Some(commit) = self.commit.as_ref() else {
             return FloorRequirement::Unconstrained;
--- a/crates/engine/src/session/target.rs
+++ b/crates/engine/src/session/target.rs
@@ -1,8 +1,8 @@
-//! Members that a session's statements may be given to.
+//! Members to which the statements of a session may be sent.
 //!
-//! A [`Target`] is made of a member that the statement's home regions allow, and a session
-//! acquires connections through targets only. So each way to send a statement, the second
-//! try of a read and the opening of a transaction included, keeps to these regions.
+//! A [`Target`] can be created only for a member in the home regions of the statement, and a
+//! session acquires connections only through targets. Every way to send a statement, including
+//! hedged reads and the opening of transactions, is thus restricted to these regions.
 
 use super::Session;
 use crate::configuration::Route;
@@ -18,23 +18,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// When a caller is to come back whose statement has no member in its home regions: a
-/// promotion or a change of the configuration, which alone can bring one, takes about that long.
+/// Retry delay for a statement that has no member in its home regions. Only a promotion or a change
+/// of the configuration can provide one, and either takes about this long.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A member that may run a statement.
 #[derive(Debug, Clone)]
 pub(super) struct Target {
-    /// Its connections. They are acquired in [`Target::acquire`] only.
+    /// The connection pool of the member, from which only [`Target::acquire`] takes connections.
     pool: Allowed<Arc<MemberPool>>,
-    /// The position that its log must hold; `None` at a leader whose term is leased.
+    /// The position that the member's log must have reached; `None` for a leader with a leased
+    /// term.
     pub after: Option<LogPosition>,
-    /// Whether nothing speaks against its running the statement at once.
+    /// Whether the member is expected to run the statement at once.
     pub is_preferred: bool,
 }
 
 impl Target {
-    /// A candidate for a read whose log must hold `after`.
+    /// Creates the target of a read for a candidate whose log must have reached `after`.
     pub(super) fn from_candidate(candidate: ReadCandidate, after: LogPosition) -> Self {
         Self {
             pool: candidate.pool,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// The same member, where it is asked again.
+    /// Returns a target that sends the statement to the same member a second time.
     pub(super) fn for_retry(&self) -> Self {
         Self {
             is_preferred: false,
@@ -51,21 +52,22 @@
         }
     }
 
-    /// What is known of the member.
+    /// Returns the connection pool of the member.
     pub(super) fn pool(&self) -> &MemberPool {
         self.pool.get()
     }
 
-    /// The regions that it was allowed for.
+    /// Returns the home regions for which the member was chosen.
     pub(super) fn residency(&self) -> &Residency {
         self.pool.residency()
     }
 
-    /// A connection to it by `until`, if it is still in a home region by then.
+    /// Acquires a connection to the member by `until`, and checks that the member is then still in
+    /// a home region.
     ///
     /// # Errors
     ///
-    /// [`AcquireError`] where there is none.
+    /// [`AcquireError`] if no connection is available or the member is outside the home regions.
     pub(super) async fn acquire(
         &self,
         engine: &Engine,
@@ -86,8 +88,9 @@
     }
 }
 
-/// Whether `pool`, chosen for the regions `chosen`, may be used where `now` are the regions
-/// that bind. A connection that leads through another process may do so in any chosen one.
+/// Returns whether `pool`, which was chosen for the regions `chosen`, may be used under the current
+/// home regions `now`. A remote pool goes through another process, which may be in any of the
+/// `chosen` regions, so all of these must still be allowed.
 pub(super) fn is_still_allowed(
     engine: &Engine,
     pool: &MemberPool,
@@ -101,11 +104,11 @@
     !pool.is_remote() && now.admit(topology, pool.member()).is_some()
 }
 
-/// The leader, unless it must not be used any more.
+/// Returns the target for the leader, or `None` if the leader can no longer be used.
 ///
 /// # Errors
 ///
-/// [`Failure`] where it stands in no home region.
+/// [`Failure`] if the leader is outside the home regions.
 pub(super) fn leader_target(
     engine: &Engine,
     leader: &UsableLeader,
@@ -128,11 +131,12 @@
     }))
 }
 
-/// Looks whether any member of `group` that is in use stands in a home region.
+/// Checks that at least one usable member of `group` is in a home region. Passes if the group has
+/// no usable member.
 ///
 /// # Errors
 ///
-/// [`Failure`] where all stand elsewhere.
+/// [`Failure`] if all usable members are outside the home regions.
 pub(super) fn check_home_regions(
     engine: &Engine,
     group: &Group,
@@ -155,12 +159,13 @@
     }
 }
 
-/// As [`check_home_regions`], for what only the leader can run, so that nobody waits for
-/// evidence of a leader that won't do. While one is being replaced the next may do.
+/// As [`check_home_regions`], for statements that only the leader can run: callers need not wait
+/// for evidence of a leader that is outside the home regions. During a replacement the chosen
+/// successor is checked; until it is chosen, any member in a home region suffices.
 ///
 /// # Errors
 ///
-/// [`Failure`] where it is known to stand elsewhere.
+/// [`Failure`] if the leader is known to be outside the home regions.
 pub(super) fn check_leader_region(
     engine: &Engine,
     group: &Group,
@@ -176,14 +181,14 @@
     }
 }
 
-/// The refusal of a statement for which no member stands in a home region.
+/// Returns the failure of a statement that no member in a home region can run.
 pub(super) fn outside_home_regions() -> Failure {
     Failure::not_run(FailureReason::OutsideHomeRegions).with_retry_after(RETRY_AFTER)
 }
 
 impl Session {
-    /// The regions in which a statement of `bound` may run: those of the newest configuration,
-    /// or those that were known when the route or the tenant was still in it.
+    /// Returns the regions in which a statement of `bound` may run: those in the newest
+    /// configuration, or the last known ones if it no longer contains the route or the tenant.
     pub(super) fn residency(&self, bound: &Route) -> Residency {
         let configuration = self.engine.configuration();
         let configuration = configuration.as_ref();
