--- a/crates/engine/src/session/mod.rs
+++ b/crates/engine/src/session/mod.rs
@@ -1,7 +1,8 @@
-//! A caller's session: its values, prepared statements, transaction and freshness floor.
+//! The session of a caller: its variables, prepared statements, transaction and the lower bound on
+//! the freshness of its reads.
 //!
-//! One session is one caller's connection. Its statements come one at a time; each is
-//! decided, sent and answered in [`Session::handle`], top to bottom in one task.
+//! A session belongs to one connection of a caller. It handles one statement at a time:
+//! [`Session::handle`] routes, sends and answers it within a single task.
 
 mod authorization;
 mod evacuated;
@@ -37,16 +38,16 @@
 use trace::RequestTrace;
 use transaction::Transaction;
 
-/// Prepared statements and values that one session may keep.
+/// Maximum number of session variables and, separately, of prepared statements in one session.
 const SESSION_ITEMS_LIMIT: usize = 512;
 
-/// A caller's session.
+/// The session of one caller.
 #[derive(Debug)]
 pub struct Session {
     engine: Arc<Engine>,
     database: DatabaseName,
     credential: Option<Credential>,
-    /// On whose behalf the latest statement was asked.
+    /// The tenant on whose behalf the latest statement was run.
     tenant: Option<Arc<Tenant>>,
     values: SessionValues,
     prepared: HashMap<Bytes, PreparedStatement>,
@@ -54,7 +55,7 @@
     transaction: Option<Transaction>,
 }
 
-/// What a completed statement left behind.
+/// The result of a completed statement.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 struct Completion {
     rows: Vec<Bytes>,
@@ -62,12 +63,12 @@
 }
 
 impl Session {
-    /// Opens a session for `database`, for a caller that has shown `credential`.
+    /// Opens a session on `database` for a caller that has presented `credential`.
     ///
     /// # Errors
     ///
-    /// [`Failure`] where no route leads from it, the credential is not good, or too little is
-    /// known yet.
+    /// [`Failure`] if the database has no route, the credential is not valid, or the configuration
+    /// is not known or possibly outdated.
     pub async fn open(
         engine: Arc<Engine>,
         database: DatabaseName,
@@ -100,7 +101,7 @@
         })
     }
 
-    /// Where the session stands.
+    /// Returns the transaction state of the session.
     pub fn state(&self) -> TransactionState {
         match &self.transaction {
             None => TransactionState::Idle,
@@ -108,22 +109,22 @@
         }
     }
 
-    /// When an open transaction that rests is to be ended.
+    /// Returns when an idle open transaction is to be aborted.
     pub fn idle_deadline(&self) -> Option<Instant> {
         let idle_since = self.transaction.as_ref()?.idle_since()?;
         let limit = self.engine.configuration()?.transaction_idle?;
         Some(idle_since + limit)
     }
 
-    /// Ends an open transaction that has rested too long, or for which there is no time
-    /// left. The caller is told at its next statement.
+    /// Aborts the open transaction with `reason`, for example because it was idle for too long or
+    /// the process is shutting down. The next statement of the caller returns the failure.
     pub fn abort_transaction(&mut self, reason: FailureReason) {
         if let Some(transaction) = &mut self.transaction {
             transaction.fail(Failure::not_run(reason));
         }
     }
 
-    /// Decides and runs one request.
+    /// Runs one request.
     pub async fn handle(&mut self, request: &Request) -> Reply {
         let mut trace = RequestTrace::new(&self.engine, &self.database, request);
         let outcome = self.dispatch(request, &mut trace).await;
@@ -208,9 +209,9 @@
         }
     }
 
-    /// Finds on whose behalf `request` is asked, for each statement anew: the credential may
-    /// have been removed since. A transaction ends where its caller may not go on, and the
-    /// caller is told why by what becomes of the statement.
+    /// Determines the tenant of `request`. This is repeated for each statement, since the
+    /// credential may have been removed meanwhile. A transaction whose caller is no longer
+    /// authorized is aborted, and the statement then fails with the reason.
     fn authorize(&mut self, request: &Request) -> Result<(), Failure> {
         let (engine, credential) = (&self.engine, self.credential.as_ref());
         let now = request.received;
@@ -230,8 +231,8 @@
         Ok(())
     }
 
-    /// Ends a transaction that is open where its home regions allow it no more. The caller is
-    /// told by what becomes of its statement.
+    /// Aborts a transaction that is open at a member outside its current home regions. The
+    /// statement then fails with that reason.
     fn end_outside_regions(&mut self) {
         let Some(transaction) = &self.transaction else {
             return;
@@ -278,7 +279,8 @@
         }
     }
 
-    /// The deadlines of a statement of `route` that was read at `received`.
+    /// Returns the deadlines of a statement of `route` that was read at `received`; they are
+    /// shorter while this process is cut off from the sources of leadership information.
     fn deadlines(&self, route: &Route, group: &Group, received: Instant) -> StatementDeadlines {
         let deadlines = StatementDeadlines::new(route, received);
         match access::is_cut_off(&self.engine, group, received) {
@@ -287,7 +289,7 @@
         }
     }
 
-    /// For whom connections are used under `route`.
+    /// Returns the claim under which connections are acquired for `route`.
     fn claim(&self, route: &Route) -> Claim {
         Claim {
             database: self.database.clone(),
@@ -302,8 +304,8 @@
         self.tenant.as_ref().map(|tenant| &tenant.name)
     }
 
-    /// A permit to send one operation to a member: `known`, or another one where that has
-    /// lapsed.
+    /// Returns a permit to send one operation to a member: `known` while it is valid, otherwise a
+    /// new one.
     async fn permit(
         &self,
         known: Option<Permit>,
@@ -318,7 +320,8 @@
         }
     }
 
-    /// The route in force, bound anew for each statement outside a transaction.
+    /// Returns the current route of the database. It is looked up again for each statement outside
+    /// a transaction.
     fn route(&self) -> Result<Arc<Route>, Failure> {
         let unknown = || authorization::unknown_database(&self.engine);
         self.engine.route(&self.database).ok_or_else(unknown)
--- a/crates/engine/src/session/offer.rs
+++ b/crates/engine/src/session/offer.rs
@@ -1,4 +1,4 @@
-//! Getting a connection to whichever of several members has one first.
+//! Acquires a connection from the first of several members that has one available.
 
 use super::target::Target;
 use super::trace::RequestTrace;
@@ -12,31 +12,31 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// How long the better members are waited for before the next one is waited for too.
+/// Delay before the next member is tried while the preceding ones have not provided a connection.
 const NEXT_MEMBER_DELAY: Duration = Duration::from_millis(30);
 
-/// A member that has a connection.
+/// A connection acquired from one of several members.
 #[derive(Debug)]
 pub(super) struct AcquiredConnection {
-    /// Its place among the targets.
+    /// The index of the member among the targets.
     pub index: usize,
     /// The connection.
     pub connection: PooledConnection,
 }
 
-/// A member that had none.
+/// A failed attempt to acquire a connection.
 #[derive(Debug, Clone)]
 pub(super) struct FailedAcquire {
     /// The member.
     pub member: MemberId,
-    /// Why.
+    /// The cause.
     pub error: AcquireError,
 }
 
-/// A connection to the first of `targets`, in their order, that has one by `until`; or why
-/// none has. Once it waits at one, a request keeps its place there while it is offered to
-/// the next. Members that are not likely to run it are asked only where no other can be
-/// reached.
+/// Acquires a connection to the first of `targets`, in their order, that has one by `until`.
+/// Returns the failures of all of them if none has. A request that queues at one member keeps its
+/// place in the queue while the next member is tried. Members that are not preferred are tried
+/// only after every attempt so far has failed.
 pub(super) async fn acquire_first(
     engine: &Engine,
     targets: &[Target],
@@ -74,12 +74,12 @@
     }
 }
 
-/// Why no member had a connection, `unreachable` where none could be reached: a request may
-/// then try again. Each is told in `trace`.
+/// Returns the reason why no member had a connection, `unreachable` if none could be reached. The
+/// request may be retried. Each failure is recorded in `trace`.
 ///
 /// # Errors
 ///
-/// The refusal, where more waiting makes no sense.
+/// The [`Failure`] of the request if all members that could be reached shed it.
 pub(super) fn acquire_failure_reason(
     failures: &[FailedAcquire],
     unreachable: FailureReason,
@@ -102,7 +102,7 @@
     })
 }
 
-/// When to come back, where members could be reached and all of these were too crowded.
+/// Returns the shortest retry delay if members could be reached and all of these shed the request.
 fn shed_retry_after(failures: &[FailedAcquire]) -> Option<Duration> {
     let mut soonest = None;
     for failure in failures {
--- a/crates/engine/src/session/read.rs
+++ b/crates/engine/src/session/read.rs
@@ -1,5 +1,5 @@
-//! Single reads: at the best member that is fresh enough, a second one where the first is
-//! silent.
+//! Single reads: run at the best member that is fresh enough, hedged with further members while
+//! there is no answer.
 
 use super::evacuated::check_route;
 use super::floor::FloorRequirement;
@@ -29,14 +29,14 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Least time before a second member is asked what the first has not answered.
+/// Minimum delay before an unanswered read is hedged with another member.
 const HEDGE_MIN: Duration = Duration::from_millis(70);
-/// That time in multiples of the member's expected latency.
+/// Hedge delay as a multiple of the member's expected latency; [`HEDGE_MIN`] is its lower bound.
 const HEDGE_LATENCY_FACTOR: f64 = 3.5;
-/// Members that one read is sent to without an answer, at the most.
+/// Maximum number of members to which one read is sent without an answer.
 const MAX_UNANSWERED: usize = 3;
 
-/// One read's needs, the same for every member that it is sent to.
+/// The inputs of a read that are the same for every member it is sent to.
 #[derive(Debug, Clone)]
 struct ReadJob {
     id: RequestId,
@@ -46,7 +46,7 @@
     deadlines: StatementDeadlines,
 }
 
-/// What came of one member.
+/// The outcome of a read at one member.
 #[derive(Debug)]
 struct ReadResult {
     member: MemberId,
@@ -57,26 +57,27 @@
 enum ReadOutcome {
     Completed(Completion),
     Refused(Refusal),
-    /// Nothing was sent: another member may take it.
+    /// Nothing was sent, so the read may be sent to another member.
     NotSent(String),
     Lost(String),
-    /// It ran on a log that is shorter than the leader's was before: the rows may be old.
+    /// The member's log is shorter than the position that it had reached as the leader, so the rows
+    /// may be outdated.
     LogRegressed,
 }
 
-/// A read that no member has completed.
+/// The failure of a read that no member has completed.
 #[derive(Debug)]
 enum ReadFailure {
-    /// It may be tried again, while there is time.
+    /// May be retried until the deadline.
     Retry(Failure),
-    /// It may be tried again once the time has passed that is told.
+    /// May be retried until the deadline, but not before the delay in the failure.
     RetryAfter(Failure),
-    /// It is refused.
+    /// Must not be retried.
     Final(Failure),
 }
 
 impl Session {
-    /// Runs a read outside any transaction.
+    /// Runs a read outside a transaction.
     pub(super) async fn run_read(
         &mut self,
         request: &Request,
@@ -101,7 +102,8 @@
             let targets = self
                 .read_targets(&group, route, request.received, deadlines.acquire, trace)
                 .await?;
-            // A permit would be drawn for nothing, and its lack told as the reason.
+            // Checked before a permit is drawn: the permit would be wasted, or its lack would be
+            // reported instead of the actual reason.
             if targets.is_empty() {
                 let reason = match route.consistency {
                     Consistency::Leader => FailureReason::NoLeader,
@@ -131,11 +133,11 @@
         }
     }
 
-    /// The members that may run a read that was received at `received`, the best first.
+    /// Returns the members that may run a read received at `received`, best first.
     ///
     /// # Errors
     ///
-    /// [`Failure`] where those that could stand in no home region.
+    /// [`Failure`] if the members that could run it are outside the home regions.
     pub(super) async fn read_targets(
         &self,
         group: &Arc<Group>,
@@ -165,7 +167,8 @@
         Ok(targets.collect())
     }
 
-    /// The leader, twice: where an answer is lost it is asked again.
+    /// Returns the leader twice, so that the read can be sent to it again if the first answer is
+    /// lost or late.
     async fn leader_targets(
         &self,
         group: &Group,
@@ -183,8 +186,8 @@
         Ok(first.into_iter().chain(second).collect())
     }
 
-    /// The position that a log must hold to be read by this session, or `None` where only
-    /// the leader is known to be fresh enough.
+    /// Returns the log position that a member must have reached to serve this read, or `None` if
+    /// only the leader is known to be fresh enough.
     async fn required_position(
         &self,
         group: &Group,
@@ -204,8 +207,8 @@
         }
     }
 
-    /// Sends the read to the first target that has a connection; to another one when it
-    /// can't run it, or has been silent for long.
+    /// Sends the read to the first target that has a connection, and to another one if that target
+    /// cannot run it or has not answered by the hedge deadline.
     async fn run_hedged(
         &self,
         job: &ReadJob,
@@ -243,7 +246,7 @@
                     },
                 () = sleep_until(hedge_at), if may_hedge => {
                     hedge_at = job.deadlines.answer;
-                    // The second run counts too.
+                    // The hedged run is rate limited like the first.
                     needs_connection = self.engine.hedges().try_retry()
                         && self.permit(None, job.deadlines).await.is_ok();
                 }
@@ -257,7 +260,7 @@
     }
 }
 
-/// Whether `failure` tells to come back later than `until`.
+/// Returns whether the retry delay of `failure` ends after `until`.
 fn retries_after(failure: &Failure, until: Instant) -> bool {
     let wait = failure.retry_after;
     wait.is_some_and(|wait| Instant::now() + wait >= until)
@@ -270,8 +273,8 @@
     now + expected.mul_f64(HEDGE_LATENCY_FACTOR).max(HEDGE_MIN)
 }
 
-/// Runs a read at one member in a task of its own: when another member has answered
-/// first, the connection is still read to the end of the answer and used again.
+/// Runs a read at one member in a separate task. If another member answers first, the task still
+/// reads the answer to the end, so that the connection can be reused.
 fn spawn_read(
     job: &ReadJob,
     target: Target,
@@ -285,8 +288,8 @@
     })
 }
 
-/// Whether the log that `answer` tells of holds less than its leader is known to have `reached`:
-/// what answers has started again, with nothing of before.
+/// Returns whether the log position in `answer` is lower than the one that the leader is known to
+/// have `reached`: the server has restarted without its earlier log.
 pub(super) fn has_log_regressed(answer: &Answer, reached: Option<LogPosition>) -> bool {
     answer.position.is_some() && answer.position < reached
 }
@@ -315,7 +318,7 @@
         }
     };
     if has_log_regressed(&answer, reached) {
-        // The connection is not used any more.
+        // The connection is dropped instead of released, so that it is not reused.
         return ReadOutcome::LogRegressed;
     }
     record_position(&job.group, leader.as_ref(), sent, &answer);
@@ -332,8 +335,8 @@
     }
 }
 
-/// Takes the leader's position from an answer to what was sent at `sent`, when `leader`
-/// was known to lead.
+/// Records the log position of `leader` from the answer to a command sent at `sent`, if the member
+/// was known to lead at that time.
 pub(super) fn record_position(
     group: &Group,
     leader: Option<&UsableLeader>,
@@ -345,7 +348,7 @@
     }
 }
 
-/// Notes that a member lacked the position asked for.
+/// Records that a member refused because its log lags behind the required position.
 pub(super) fn record_refusal(pool: &MemberPool, refusal: &Refusal, after: Option<LogPosition>) {
     if let (RefusalKind::Lagging, Some(position)) = (refusal.kind, after) {
         pool.note(|health| health.lagging(position, Instant::now()));
@@ -398,7 +401,7 @@
     }
 }
 
-/// What becomes of a read for which no member had a connection.
+/// Returns the failure of a read for which no member had a connection.
 fn read_failure(failures: &[FailedAcquire], trace: &mut RequestTrace) -> ReadFailure {
     match acquire_failure_reason(failures, FailureReason::NoFreshMember, trace) {
         Ok(reason) => ReadFailure::Retry(Failure::not_run(reason)),
--- a/crates/engine/src/session/trace.rs
+++ b/crates/engine/src/session/trace.rs
@@ -1,4 +1,4 @@
-//! What is remembered of one request for its event and for the metrics.
+//! Data collected while a request runs, for its event and for the metrics.
 
 use crate::configuration::Route;
 use crate::engine::Engine;
@@ -12,13 +12,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Attempts that one event tells, at the most.
+/// Maximum number of attempts that one event lists.
 const MAX_ATTEMPTS: usize = 12;
 
-/// Route of statements that need no member.
+/// Route label of statements that need no member.
 const NO_ROUTE: &str = "none";
 
-/// Gathers what decides a request.
+/// Collects what determined the outcome of a request.
 #[derive(Debug)]
 pub struct RequestTrace {
     id: RequestId,
@@ -37,7 +37,7 @@
 }
 
 impl RequestTrace {
-    /// Nothing is decided yet.
+    /// Creates the trace of a request that has not been routed yet.
     pub fn new(engine: &Engine, database: &DatabaseName, request: &Request) -> Self {
         Self {
             id: request.id.clone(),
@@ -56,12 +56,12 @@
         }
     }
 
-    /// It was found out on whose behalf the request is asked.
+    /// Sets the tenant on whose behalf the request runs.
     pub fn set_tenant(&mut self, tenant: Option<&TenantName>) {
         self.tenant = tenant.cloned();
     }
 
-    /// The route was chosen.
+    /// Sets the route, and the state of its group at this time.
     pub fn set_route(&mut self, engine: &Engine, route: &Route) {
         let group = engine.group(&route.group);
         self.epoch = Some(group.view().epoch);
@@ -72,12 +72,12 @@
         self.objective = Some(route.objective);
     }
 
-    /// The position was chosen that a member's log must hold.
+    /// Sets the log position that a member must have reached.
     pub fn set_required_position(&mut self, after: Option<LogPosition>) {
         self.after = after;
     }
 
-    /// A member was tried.
+    /// Records the result of an attempt at a member.
     pub fn record_attempt(&mut self, member: &MemberId, result: impl Into<String>) {
         if self.attempts.len() < MAX_ATTEMPTS {
             self.attempts.push(AttemptEvent {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Writes the event and counts the request.
+    /// Updates the metrics and writes the event, if the event budget allows it.
     pub fn finish(self, engine: &Engine, outcome: &Result<Completion, Failure>) {
         self.count(outcome);
         let elapsed = self.received.elapsed();
@@ -139,7 +139,8 @@
     }
 }
 
-/// The age of the proof of the configuration, where that is what decided.
+/// Returns the age of the proof of the configuration if the failure may be due to an outdated
+/// configuration.
 fn relevant_proof_age(engine: &Engine, outcome: &Result<Completion, Failure>) -> Option<u64> {
     let is_relevant = matches!(
         outcome.as_ref().err()?.reason,
--- a/crates/engine/src/session/transaction/mod.rs
+++ b/crates/engine/src/session/transaction/mod.rs
@@ -1,4 +1,5 @@
-//! Transactions: opened at a member with their first statement, held there to the end.
+//! Transactions: opened at a member with their first statement, and bound to one connection to it
+//! until they end.
 
 mod opening;
 
@@ -19,7 +20,7 @@
 use std::sync::Arc;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// A caller's transaction.
+/// The transaction of a session.
 #[derive(Debug)]
 pub(super) struct Transaction {
     route: Arc<Route>,
@@ -28,35 +29,35 @@
     began: Instant,
     idle_since: Instant,
     stage: Stage,
-    /// On whose behalf it was opened at its member.
+    /// The tenant on whose behalf it was opened at its member.
     tenant: Option<TenantName>,
 }
 
-/// How far a transaction has come.
+/// The stage of a transaction.
 #[derive(Debug)]
 enum Stage {
-    /// No member was chosen yet.
+    /// No member has been chosen yet.
     Pending,
     /// It is open at a member.
     Open(OpenTransaction),
-    /// It was ended, and the caller has not been told yet.
+    /// It was aborted, and the caller has not received the failure yet.
     Aborted(Failure),
-    /// It has failed, and the caller knows.
+    /// It has failed, and the caller has received the failure.
     Failed,
 }
 
-/// A transaction at its member.
+/// A transaction that is open at a member.
 #[derive(Debug)]
 struct OpenTransaction {
     connection: PooledConnection,
     leader: Option<UsableLeader>,
-    /// The regions that its member was chosen for.
+    /// The home regions for which its member was chosen.
     residency: Residency,
     wrote: bool,
 }
 
 impl Transaction {
-    /// What the caller is told of its state.
+    /// Returns the state as it is reported to the caller.
     pub(super) fn state(&self) -> TransactionState {
         match self.stage {
             Stage::Failed => TransactionState::Failed,
@@ -64,17 +65,17 @@
         }
     }
 
-    /// The route that it was begun with.
+    /// Returns the route with which it began.
     pub(super) fn route(&self) -> &Route {
         &self.route
     }
 
-    /// Whether it is open on behalf of another than `tenant`.
+    /// Returns whether it is open on behalf of a tenant other than `tenant`.
     pub(super) fn belongs_to_other_tenant(&self, tenant: Option<&TenantName>) -> bool {
         matches!(self.stage, Stage::Open(_)) && self.tenant.as_ref() != tenant
     }
 
-    /// Whether it may stay where it is open, if `residency` are the regions that bind.
+    /// Returns whether it may continue at its member under the current home regions `residency`.
     pub(super) fn may_continue(&self, engine: &Engine, residency: &Residency) -> bool {
         let Stage::Open(open) = &self.stage else {
             return true;
@@ -82,7 +83,7 @@
         is_still_allowed(engine, open.connection.pool(), &open.residency, residency)
     }
 
-    /// Since when it has been resting, unless it has ended.
+    /// Returns since when it has been idle, unless it has ended.
     pub(super) fn idle_since(&self) -> Option<Instant> {
         match self.stage {
             Stage::Pending | Stage::Open(_) => Some(self.idle_since),
@@ -90,14 +91,14 @@
         }
     }
 
-    /// Ends it; the caller is told `failure` at its next statement.
+    /// Aborts it; the next statement of the caller returns `failure`.
     pub(super) fn fail(&mut self, failure: Failure) {
         if let Stage::Open(open) = std::mem::replace(&mut self.stage, Stage::Aborted(failure)) {
             open.connection.roll_back();
         }
     }
 
-    /// Puts changed session values in place where it is open.
+    /// Applies changed session variables to the connection, if it is open.
     pub(super) async fn put_values(&mut self, values: &SessionValues) -> Result<(), Failure> {
         let Stage::Open(open) = &mut self.stage else {
             return Ok(());
@@ -114,7 +115,7 @@
 }
 
 impl Session {
-    /// Begins a transaction. No member is needed before its first statement.
+    /// Begins a transaction. It is opened at a member only with its first statement.
     pub(super) fn begin(
         &mut self,
         read_only: bool,
@@ -166,7 +167,7 @@
         outcome
     }
 
-    /// Commits or rolls back.
+    /// Commits or rolls back the transaction.
     pub(super) async fn finish_transaction(
         &mut self,
         request: &Request,
@@ -244,7 +245,7 @@
     }
 }
 
-/// Runs a later statement of an open transaction.
+/// Runs a statement in a transaction that is already open at a member.
 async fn run_in_open(
     transaction: &mut Transaction,
     mut open: OpenTransaction,
@@ -286,7 +287,7 @@
     }
 }
 
-/// Sends the commit; again while the member is too busy to begin it.
+/// Sends the commit, and retries it while the member is too busy to start it.
 async fn run_commit(
     transaction: &Transaction,
     open: &mut OpenTransaction,
@@ -313,8 +314,8 @@
     }
 }
 
-/// What a caller is told when its transaction's statement was refused. Nothing is kept:
-/// the transaction is rolled back.
+/// Returns the failure for a refused statement of a transaction. The transaction is rolled back, so
+/// nothing of it is kept.
 fn statement_refused(refusal: Refusal) -> Failure {
     match refusal.kind {
         RefusalKind::Failed => member_failure(refusal),
--- a/crates/engine/src/session/transaction/opening.rs
+++ b/crates/engine/src/session/transaction/opening.rs
@@ -1,4 +1,4 @@
-//! Opening a transaction at a member, with its first statement.
+//! Opens a transaction at a member together with its first statement.
 
 use super::{OpenTransaction, Stage, Transaction};
 use crate::configuration::Consistency;
@@ -20,15 +20,15 @@
 use crate::verdict::{Failure, FailureReason};
 use tokio::time::Instant;
 
-/// Members where a transaction may be opened, the best first.
+/// The members at which a transaction may be opened, best first.
 #[derive(Default)]
 struct OpenCandidates {
     targets: Vec<Target>,
-    /// The leader, where only it will do.
+    /// The leader, if the transaction must run there.
     leader: Option<UsableLeader>,
 }
 
-/// A member chosen for a transaction, and the connection to it.
+/// The member chosen for a transaction, and a connection to it.
 struct ChosenMember {
     target: Target,
     leader: Option<UsableLeader>,
@@ -36,8 +36,8 @@
 }
 
 impl Session {
-    /// Opens the transaction at a member and runs its first statement there. Until that
-    /// has completed nothing can be kept, so another member may be tried.
+    /// Opens the transaction at a member and runs its first statement there. Before that statement
+    /// has completed the transaction has no effect, so another member may be tried.
     pub(super) async fn open_transaction(
         &self,
         transaction: &mut Transaction,
@@ -90,11 +90,11 @@
         }
     }
 
-    /// Members where the transaction may be opened, the best first.
+    /// Returns the members at which the transaction may be opened, best first.
     ///
     /// # Errors
     ///
-    /// [`Failure`] where those that could stand in no home region.
+    /// [`Failure`] if the members at which it could be opened are outside the home regions.
     async fn open_candidates(
         &self,
         transaction: &Transaction,
@@ -130,11 +130,11 @@
     }
 }
 
-/// The first statement of a transaction, with which it is opened.
+/// The first statement of a transaction, which causes it to be opened.
 struct FirstStatement<'a> {
     request: &'a Request,
     access: Access,
-    /// None where there is nothing to run before the commit.
+    /// `None` if the transaction is committed without a statement.
     work: Option<&'a Work>,
     deadlines: StatementDeadlines,
 }
@@ -183,7 +183,7 @@
         record_refusal(pool, &refusal, target.after);
         release(connection, answer.state);
         if transaction.read_only && matches!(refusal.kind, RefusalKind::SlowStart(_)) {
-            // Another member may take it.
+            // Another member may be able to run it.
             return Attempt::NotRun(FailureReason::Overloaded);
         }
         return refusal_outcome(refusal);
@@ -205,7 +205,7 @@
     run_first_statement(transaction, open, work, &first, trace).await
 }
 
-/// Runs the first statement of a transaction that has just been opened.
+/// Runs the first statement of a newly opened transaction.
 async fn run_first_statement(
     transaction: &mut Transaction,
     mut open: OpenTransaction,
--- a/crates/engine/src/session/write.rs
+++ b/crates/engine/src/session/write.rs
@@ -1,4 +1,4 @@
-//! Single writes: at the leader, at most once.
+//! Single writes: run at the leader, at most once.
 
 use super::evacuated::check_leader;
 use super::limits::{RETRY_PAUSE, StatementDeadlines};
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// One write, as it is given to a leader.
+/// A write that is sent to a leader.
 struct WriteJob<'a> {
     id: &'a RequestId,
     work: &'a Work,
@@ -26,11 +26,11 @@
     deadlines: StatementDeadlines,
 }
 
-/// What came of giving a statement to a member once.
+/// The outcome of a single attempt to run a statement at a member.
 pub(super) enum Attempt<T> {
-    /// It is decided.
+    /// The outcome is final.
     Decided(Result<T, Failure>),
-    /// Nothing has run; it may be tried again.
+    /// Nothing has run, so the statement may be retried.
     NotRun(FailureReason),
 }
 
@@ -40,14 +40,14 @@
     NotSent,
     /// The connection failed after the statement was sent.
     Lost,
-    /// It did not come in time.
+    /// The answer did not arrive in time.
     TimedOut,
-    /// Another leader was chosen meanwhile.
+    /// The leader was replaced meanwhile.
     Superseded,
 }
 
 impl Unanswered {
-    /// What a caller is told of it.
+    /// Returns the reason that is reported to the caller.
     pub(super) fn reason(&self) -> FailureReason {
         match self {
             Unanswered::NotSent | Unanswered::Lost => FailureReason::ConnectionLost,
@@ -57,19 +57,19 @@
     }
 }
 
-/// An answer, or the reason why there is none.
+/// The result of waiting for an answer.
 pub(super) enum Awaited<T> {
-    /// It came.
+    /// The answer arrived.
     Answered(T),
-    /// It did not come in time.
+    /// The answer did not arrive in time.
     TimedOut,
-    /// Another leader was chosen meanwhile.
+    /// The leader was replaced meanwhile.
     Superseded,
 }
 
 impl Awaited<Result<Answer, RunError>> {
-    /// The answer to what was sent at `sent`. One that is missing is told in `trace`, and
-    /// a member's silence is noted.
+    /// Returns the answer to the command sent at `sent`. Records a missing answer in `trace`, and
+    /// reports a timeout to the pool of the member.
     pub(super) fn into_answer(
         self,
         pool: &MemberPool,
@@ -100,7 +100,7 @@
 }
 
 impl Session {
-    /// Runs a write outside any transaction.
+    /// Runs a write outside a transaction.
     pub(super) async fn run_write(
         &mut self,
         request: &Request,
@@ -121,7 +121,8 @@
                 return Err(Failure::not_run(FailureReason::NoLeader));
             };
             check_leader(&self.engine, &group)?;
-            // A permit would be drawn for nothing, and its lack told as the reason.
+            // Checked before a permit is drawn: the permit would be wasted, or its lack would be
+            // reported instead of the actual reason.
             let Some(target) = leader_target(&self.engine, &leader, &residency)? else {
                 pause_before_retry(deadlines, FailureReason::NoLeader).await?;
                 continue;
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Takes an acknowledged commit into the session's floor and the group's beliefs.
+    /// Records an acknowledged commit in the session's floor and in the state of the group.
     pub(super) fn record_commit(
         &mut self,
         group: &Group,
@@ -219,7 +220,7 @@
     }
 }
 
-/// Waits for an answer until `until`, or until another leader is chosen.
+/// Waits for an answer until `until`, or until the leader is replaced.
 pub(super) async fn await_answer<T>(
     running: impl Future<Output = T>,
     group: &Group,
@@ -234,7 +235,7 @@
     }
 }
 
-/// Waits for an answer until `until`, whoever leads meanwhile.
+/// Waits for an answer until `until`, regardless of changes of the leader.
 pub(super) async fn await_in_time<T>(
     running: impl Future<Output = T>,
     until: Instant,
@@ -245,7 +246,7 @@
     }
 }
 
-/// Waits before another try, or refuses where there is no time for one.
+/// Waits before a retry, or returns the failure if the deadline leaves no time for one.
 pub(super) async fn pause_before_retry(
     deadlines: StatementDeadlines,
     reason: FailureReason,
@@ -257,14 +258,15 @@
     Ok(())
 }
 
-/// Gives a connection back; what a failed statement has left open is rolled back first.
+/// Returns a connection to its pool. A transaction that a failed statement has left open is rolled
+/// back first.
 pub(super) fn release(connection: PooledConnection, state: TransactionState) {
     if state != TransactionState::Idle {
         connection.roll_back();
     }
 }
 
-/// What becomes of a statement for which there was no connection.
+/// Returns the outcome of an attempt for which no connection could be acquired.
 pub(super) fn acquire_error_outcome<T>(error: &AcquireError) -> Attempt<T> {
     match error {
         AcquireError::Shed(retry_after) | AcquireError::SlowStart(retry_after) => {
@@ -278,12 +280,12 @@
     }
 }
 
-/// What a caller is told whose request is not to wait any longer.
+/// Returns the failure of a request that is shed, to be retried after `retry_after`.
 pub(super) fn shed_failure(retry_after: Duration) -> Failure {
     Failure::not_run(FailureReason::Overloaded).with_retry_after(retry_after)
 }
 
-/// Why a refused statement has not run; `None` where it may have.
+/// Returns why a refused statement has not run; `None` if it may have run.
 pub(super) fn not_run_reason(kind: RefusalKind) -> Option<FailureReason> {
     match kind {
         RefusalKind::Busy => Some(FailureReason::Overloaded),
