--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -68,10 +68,10 @@
     /// let near = MemberCost { latency_ms: 15.0, ..MemberCost::default() };
     /// let far = MemberCost { distance: Distance::OwnRegion, ..near };
     /// let farther = MemberCost { distance: Distance::OtherRegion, ..near };
-    /// let crowded = MemberCost { is_doubtful: true, ..near };
+    /// let overloaded = MemberCost { may_refuse: true, ..near };
     /// assert!(near.total_ms() < far.total_ms());
     /// assert!(far.total_ms() < farther.total_ms());
-    /// assert!(farther.total_ms() < crowded.total_ms());
+    /// assert!(farther.total_ms() < overloaded.total_ms());
     /// ```
     pub fn total_ms(&self) -> f64 {
         let load_factor = 1.0 + self.in_use as f64 * IN_USE_SHARE;
