--- a/crates/engine/src/group/samples.rs
+++ b/crates/engine/src/group/samples.rs
@@ -57,7 +57,7 @@
     }
 
     /// Samples to share with another process, oldest first: the newest one, and earlier ones of
-    /// its epoch at intervals of at least [`SHARED_SPACING`].
+    /// its epoch at intervals of at least `SHARED_SPACING`.
     pub fn samples_to_share(&self) -> Vec<PositionSample> {
         let Some(newest) = self.newest else {
             return Vec::new();
--- a/crates/engine/src/pool/connection.rs
+++ b/crates/engine/src/pool/connection.rs
@@ -144,8 +144,8 @@
     ///
     /// # Errors
     ///
-    /// [`BackEndConnectionError`] if the member did not set them. No statement of the session may run on
-    /// this connection then.
+    /// [`BackEndConnectionError`] if the member did not set them. No statement of the session may
+    /// run on this connection then.
     pub async fn apply_values(
         &mut self,
         values: &SessionValues,
@@ -177,8 +177,8 @@
     ///
     /// # Errors
     ///
-    /// [`BackEndConnectionError`] if the answer was incomplete, after which the connection is not reused, or
-    /// if sending to the member is not permitted.
+    /// [`BackEndConnectionError`] if the answer was incomplete, after which the connection is not
+    /// reused, or if sending to the member is not permitted.
     pub async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError> {
         self.check_sending()?;
         self.pool.gate().count_sent();
--- a/crates/engine/src/pool/member.rs
+++ b/crates/engine/src/pool/member.rs
@@ -32,9 +32,9 @@
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 /// Delay before another connection is opened after the member's queue was full.
 const BUSY_PAUSE: Duration = Duration::from_millis(60);
-/// How long the number of open connections stays capped after the member reported too many: one
-/// is closed for each that is opened. After a power loss, a member holds the connections
-/// of the processes' previous incarnations for some more seconds.
+/// How long the number of open connections stays capped after the member reported too many: one is
+/// closed for each that is opened. After a power loss, a member holds the connections of the
+/// processes' previous incarnations for some seconds.
 const CONNECTION_CAP_TIME: Duration = Duration::from_millis(250);
 /// How long an idle connection is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_000);
@@ -133,7 +133,7 @@
         &self.gate
     }
 
-    /// The member as of the creation of the pool. Its identity and zone are still valid.
+    /// The member as of the creation of the pool, for its identity and location.
     pub fn member(&self) -> &Arc<Member> {
         &self.member
     }
@@ -330,8 +330,7 @@
 
     /// Sends a control command, over an idle connection if there is one. If the member accepts
     /// no further connection, waits for one of the pool. Control commands are also sent to
-    /// evacuated zones: a new leader that did not fence the old one there could lack
-    /// acknowledged commits.
+    /// evacuated zones: without fencing there, a new leader could lack acknowledged commits.
     ///
     /// # Errors
     ///
@@ -400,12 +399,13 @@
         }
     }
 
-    /// Closes the idle connections now; those in use stay open.
+    /// Closes the idle connections, on which nothing is to be sent any more. Those in use stay
+    /// open.
     pub fn close_idle_connections(&self) {
         drop(self.connections.take_all(|_| true));
     }
 
-    /// Closes connections that have been idle for [`IDLE_TIMEOUT`].
+    /// Closes connections that have been idle for `IDLE_TIMEOUT`.
     pub fn close_expired(&self) {
         self.connections.close_idle(|idle| idle.age >= IDLE_TIMEOUT);
     }
--- a/crates/engine/src/slow_start/mod.rs
+++ b/crates/engine/src/slow_start/mod.rs
@@ -32,9 +32,10 @@
 use tokio::time::Instant;
 use window::{Allowance, SendPriority, StatementGate, WINDOW};
 
-/// Maximum age of the known records while a process uses its share, in contact times. This allows
-/// for one long poll for changes, dated at its start, and two relays.
-const MAX_RECORD_AGE_CONTACTS: u32 = 2;
+/// Maximum age of the known records while a process uses its share, as a multiple of the
+/// propagation bound. This allows for one long poll for changes, dated at its start, and two
+/// relays.
+const MAX_RECORD_AGE_BOUNDS: u32 = 2;
 /// Assumed utilization of a member that is reached through its homes, whose use is unknown.
 const ASSUMED_UTILIZATION: f64 = 0.5;
 
@@ -226,7 +227,7 @@
 
 /// Maximum age of the known records while a share is used.
 pub(crate) fn max_record_age(engine: &Engine) -> Duration {
-    engine.settings().propagation_bound * MAX_RECORD_AGE_CONTACTS
+    engine.settings().propagation_bound * MAX_RECORD_AGE_BOUNDS
 }
 
 /// Time after a change of an allotment by which no process uses the previous one any more.
