--- a/crates/engine/src/link/client.rs
+++ b/crates/engine/src/link/client.rs
@@ -1,4 +1,4 @@
-//! A link from this process to another one, shared by all sessions.
+//! The client side of a link: request multiplexing, liveness checks and idle shutdown.
 
 use super::frame::{
     ExchangeId, FollowedVersions, FromHome, HomeOutcome, RequiredFreshness, RunRequest,
@@ -18,26 +18,26 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// How long other links are preferred to one whose far end knows too little; doubled each time
-/// that it still does.
+/// How long a link is skipped after its peer gave a stale answer; doubled with each further stale
+/// answer in a row.
 const DEPRIORITIZED_FOR: Duration = Duration::from_millis(700);
-/// How often that is doubled, at the most.
+/// Maximum number of doublings of [`DEPRIORITIZED_FOR`].
 const MAX_DEPRIORITIZATION_DOUBLINGS: u32 = 3;
-/// Interval in which a link is looked after.
+/// Interval between liveness checks while a reply is outstanding.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Silence after which a home that owes an answer is pinged.
+/// Time without traffic after which a peer with an outstanding reply is pinged.
 const PING_AFTER: Duration = Duration::from_millis(80);
-/// Silence after a ping with which the home counts as lost for the time being.
+/// Time without a reply to a ping after which the link is suspect and not used for new requests.
 pub const SUSPECT_AFTER: Duration = Duration::from_millis(200);
-/// Silence after a ping that ends the link.
+/// Time without a reply to a ping after which the link is closed.
 const PING_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time without a word after which a link is tried before a request is given to it: the other
-/// side may be lost, and the request would be the one to find out.
+/// Time without received frames after which a link is pinged before it gets a request. Otherwise
+/// the request itself would have to time out to detect that the peer is gone.
 const PROBE_AFTER: Duration = Duration::from_secs(2);
-/// How long a link is kept that nothing is asked on.
+/// How long a link without requests is kept open.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a home owes.
+/// Where the reply to an outstanding request is delivered.
 #[derive(Debug)]
 enum ReplySender {
     Run(oneshot::Sender<HomeOutcome>),
@@ -51,36 +51,37 @@
 struct LinkState {
     next_id: u64,
     reply_senders: HashMap<ExchangeId, ReplySender>,
-    /// Answers of which parts have come, and when the last of these did.
+    /// Partially received answers, each with the time of its latest part.
     partial_answers: HashMap<ExchangeId, (Vec<u8>, Instant)>,
+    /// When the last frame was received, or the first request after an idle time was sent.
     last_activity: Instant,
-    /// When the last word came; `last_activity` may count from a question.
+    /// When the last frame was received.
     last_received: Instant,
     pinged_at: Option<Instant>,
     last_used: Instant,
-    /// Whether the other links were told that this one has gone silent.
+    /// Whether `on_suspect` was called since the last frame was received.
     suspicion_reported: bool,
     leaving: bool,
     deprioritized_until: Option<Instant>,
-    /// How often in a row the far end knew too little.
+    /// Stale answers in a row, with those to concurrent requests counted once.
     consecutive_stale_answers: u32,
     closed: bool,
 }
 
-/// An open link.
+/// An open link to a peer.
 #[derive(Debug)]
 pub struct Link {
     tx: mpsc::Sender<Bytes>,
     state: Mutex<LinkState>,
-    /// Wakes the task that looks after the link.
+    /// Wakes the monitoring task.
     request_registered: Notify,
-    /// Wakes those that wait for a word.
+    /// Notified on each received frame.
     frame_received: Notify,
-    /// What is done once it has gone silent.
+    /// Called when the link becomes suspect.
     on_suspect: OnSuspect,
 }
 
-/// What is done once a link has gone silent.
+/// A callback that runs when a link becomes suspect.
 pub(super) struct OnSuspect(pub Box<dyn Fn() + Send + Sync>);
 
 impl fmt::Debug for OnSuspect {
@@ -90,7 +91,7 @@
 }
 
 impl Link {
-    /// Takes an open link into use, and reads what comes over it in a task of its own.
+    /// Starts a task that reads from and monitors `link`, and returns a handle for requests.
     pub(super) fn spawn(link: PeerLink, on_suspect: OnSuspect) -> Arc<Self> {
         let now = Instant::now();
         let opened = Arc::new(Self {
@@ -121,13 +122,13 @@
             }
             let mut state = reading.lock();
             state.closed = true;
-            // Whoever waits learns that the link has ended.
+            // Dropping the senders makes all outstanding requests fail.
             state.reply_senders.clear();
         });
         opened
     }
 
-    /// Whether the home is expected to answer.
+    /// Whether new requests should be sent on this link.
     pub fn is_usable(&self) -> bool {
         let state = self.lock();
         let now = Instant::now();
@@ -135,15 +136,15 @@
         !state.leaving && !deprioritized && state.is_alive(now)
     }
 
-    /// Whether nothing was heard for so long that another link is to take this one's place.
+    /// Whether the peer is unresponsive, so that a new link should replace this one.
     pub(super) fn is_suspect(&self) -> bool {
         let state = self.lock();
         !state.leaving && !state.is_alive(Instant::now())
     }
 
-    /// Notes that no answer has come to what was asked at `asked`, and should have. Where
-    /// nothing else was heard since, the link counts as silent: the next one who needs it opens
-    /// another.
+    /// Reports that the answer to a request sent at `asked` is overdue. If nothing else was
+    /// received since, the request counts as an unanswered ping; once the link is suspect, its next
+    /// user opens a new one.
     pub fn report_timeout(&self, asked: Instant) {
         let mut state = self.lock();
         if state.last_activity <= asked {
@@ -154,7 +155,7 @@
         self.report_suspicion();
     }
 
-    /// Tells once that the link has gone silent.
+    /// Calls `on_suspect` once when the link becomes suspect.
     fn report_suspicion(&self) {
         let mut state = self.lock();
         if state.suspicion_reported || state.is_alive(Instant::now()) {
@@ -165,7 +166,7 @@
         (self.on_suspect.0)();
     }
 
-    /// Asks for a sign, unless one is asked for already.
+    /// Sends a ping unless one is outstanding.
     pub fn ping(&self) {
         let mut state = self.lock();
         if state.closed || state.pinged_at.is_some() {
@@ -176,7 +177,7 @@
         self.send(&ToHome::Ping);
     }
 
-    /// Whether the other side has said something lately, or says something by `until`.
+    /// Whether a frame was received recently, or arrives before `until` in response to a ping.
     pub(super) async fn is_responsive(&self, until: Instant) -> bool {
         let began = Instant::now();
         if began < self.lock().last_received + PROBE_AFTER {
@@ -188,7 +189,7 @@
         timeout_at(until, frame_received).await.is_ok()
     }
 
-    /// Whether what was begun here may go on here.
+    /// Whether the link is still open. Units in progress continue on a suspect or leaving link.
     pub fn is_open(&self) -> bool {
         !self.lock().closed
     }
@@ -197,13 +198,13 @@
         self.lock().leaving
     }
 
-    /// A number for a unit that begins now.
+    /// Allocates an id for a new unit.
     pub fn begin_unit(&self) -> UnitId {
         self.lock().allocate_id()
     }
 
-    /// Sends a command; `None` where it was not sent. What is returned resolves with an
-    /// error where the link ends first.
+    /// Sends a command; returns `None` if it was not sent. The receiver resolves with an error if
+    /// the link closes before the outcome arrives.
     pub fn run(&self, mut request: RunRequest) -> Option<oneshot::Receiver<HomeOutcome>> {
         let (tx, rx) = oneshot::channel();
         request.exchange = self.register(ReplySender::Run(tx));
@@ -215,12 +216,12 @@
         sent.then_some(rx)
     }
 
-    /// Tells that nobody waits for `unit` any more.
+    /// Tells the peer to abandon `unit`.
     pub fn close_unit(&self, unit: UnitId) {
         self.send(&ToHome::Close(unit));
     }
 
-    /// Asks what is believed of `group`; `None` where the link ends first.
+    /// Queries the peer's view of `group`; returns `None` if the link closes first.
     pub async fn query_group(
         &self,
         group: &GroupName,
@@ -239,15 +240,15 @@
         }
     }
 
-    /// Asks for what is newer than `known`, waiting there for up to `wait`. `None` where the link
-    /// ends first, or for `patience` longer than that nothing comes: a long answer comes in parts,
-    /// and whoever started together with hundreds of others gets them slowly. To ask anew would
-    /// have all of it sent again.
+    /// Long-polls for updates newer than `known`; the peer holds the request for up to `wait`.
+    /// Returns `None` if the link closes first, or if nothing arrives for `stall_timeout` beyond `wait`.
+    /// Each part of a long answer extends the deadline: when hundreds of processes start together
+    /// the parts arrive slowly, and a retry would make the peer send the whole answer again.
     pub async fn follow(
         &self,
         known: FollowedVersions,
         wait: Duration,
-        patience: Duration,
+        stall_timeout: Duration,
     ) -> Option<StoreUpdates> {
         let (tx, mut rx) = oneshot::channel();
         let exchange = self.register(ReplySender::Follow(tx));
@@ -259,28 +260,28 @@
         if !self.send(&question) {
             return None;
         }
-        let mut until = Instant::now() + wait + patience;
+        let mut until = Instant::now() + wait + stall_timeout;
         loop {
             match timeout_at(until, &mut rx).await {
                 Ok(news) => return news.ok(),
                 Err(_) => {
                     until = self
                         .last_part_at(exchange)
-                        .filter(|at| *at + patience > until)?
-                        + patience
+                        .filter(|at| *at + stall_timeout > until)?
+                        + stall_timeout
                 }
             }
         }
     }
 
-    /// Whether a part of a long answer has come in the last `patience`.
-    pub fn is_receiving(&self, patience: Duration) -> bool {
+    /// Whether a part of a long answer was received within the last `stall_timeout`.
+    pub fn is_receiving(&self, stall_timeout: Duration) -> bool {
         let now = Instant::now();
         let state = self.lock();
         state
             .partial_answers
             .values()
-            .any(|(_, at)| now < *at + patience)
+            .any(|(_, at)| now < *at + stall_timeout)
     }
 
     fn last_part_at(&self, exchange: ExchangeId) -> Option<Instant> {
@@ -290,8 +291,8 @@
             .map(|(_, at)| *at)
     }
 
-    /// Asks for a permit for one operation of `tenant`, or, unless it `takes` one, whether
-    /// `shard` is counted there; `None` where the link ends first.
+    /// Requests a permit for one operation of `tenant`. If `takes` is false, only asks whether the
+    /// peer counts `shard`. Returns `None` if the link closes first.
     pub async fn request_permit(
         &self,
         shard: Shard,
@@ -312,8 +313,8 @@
         }
     }
 
-    /// Asks the holder of the lease for promotions for the version of the newest record of a term,
-    /// which it tells while it holds the lease; `None` where the link ends first.
+    /// Asks the holder of the promotion lease for the version of the newest term record. The inner
+    /// value is `None` if the peer doesn't hold the lease, the outer one if the link closes first.
     pub async fn query_newest_term(&self) -> Option<Option<StoreVersion>> {
         let (tx, rx) = oneshot::channel();
         let exchange = self.register(ReplySender::NewestTerm(tx));
@@ -323,28 +324,28 @@
         }
     }
 
-    /// Asks the other side to be ready to count `shard` of the rate limits.
+    /// Asks the peer to prepare to take over counting for `shard` of the rate limits.
     pub fn prepare_counter(&self, shard: Shard) {
         self.send(&ToHome::Want(shard));
     }
 
-    /// Tells the other side of the lease of `shard`, which this process has just written.
+    /// Sends the peer the lease of `shard` that this process has just written.
     pub fn send_counter_lease(&self, shard: Shard, record: &LeaseRecord) {
         let record = Box::new(record.clone());
         self.send(&ToHome::CounterLease { shard, record });
     }
 
-    /// Tells the other side of the lease for promotions, which this process has just written.
+    /// Sends the peer the promotion lease that this process has just written.
     pub fn send_promotion_lease(&self, record: &LeaseRecord) {
         self.send(&ToHome::PromotionLease(Box::new(record.clone())));
     }
 
-    /// Prefers other links for a while: what is told here is not good enough.
+    /// Skips this link for a while because the peer's answer was stale.
     pub fn deprioritize(&self) {
         let mut state = self.lock();
         let now = Instant::now();
         if state.deprioritized_until.is_some_and(|until| now < until) {
-            // Questions that were asked side by side count once.
+            // Stale answers to concurrent requests count once.
             return;
         }
         let doublings = state
@@ -354,7 +355,7 @@
         state.consecutive_stale_answers += 1;
     }
 
-    /// Notes that what is told here is good enough.
+    /// Resets the deprioritization backoff after a sufficiently fresh answer.
     pub fn reset_deprioritization(&self) {
         self.lock().consecutive_stale_answers = 0;
     }
@@ -363,7 +364,7 @@
         let mut state = self.lock();
         let now = Instant::now();
         if !state.awaits_reply() {
-            // Silence counts from the first question.
+            // The time without traffic counts from the first request.
             state.last_activity = now;
             self.request_registered.notify_one();
         }
@@ -377,18 +378,18 @@
         !self.lock().closed && self.tx.try_send(encode(frame)).is_ok()
     }
 
-    /// Reads until the link ends, or says what makes no sense.
+    /// Reads frames until the link closes or a frame can't be decoded.
     async fn read(&self, mut rx: mpsc::Receiver<Bytes>) {
         while let Some(bytes) = rx.recv().await {
             let Some(frame) = decode::<FromHome>(&bytes) else {
-                log::warn!("a home said what makes no sense; the link is closed");
+                log::warn!("received an undecodable frame from a peer; closing the link");
                 return;
             };
             self.handle_frame(frame);
         }
     }
 
-    /// Takes one part of an answer, and the answer once all parts have come.
+    /// Appends one part of an answer, and handles the answer once the last part has arrived.
     fn handle_part(&self, exchange: ExchangeId, bytes: &Bytes, is_last: bool) {
         let whole = {
             let mut state = self.lock();
@@ -411,7 +412,7 @@
         let Some((bytes, _)) = whole else { return };
         match decode::<FromHome>(&bytes.into()) {
             Some(FromHome::Part { .. }) | None => {
-                log::warn!("the parts of an answer make no sense together; they are dropped");
+                log::warn!("the reassembled parts of an answer can't be decoded; dropping them");
             }
             Some(answer) => self.handle_frame(answer),
         }
@@ -437,7 +438,7 @@
             FromHome::Leaving => state.leaving = true,
             FromHome::Ran { exchange, outcome } => {
                 if let Some(ReplySender::Run(sender)) = state.reply_senders.remove(&exchange) {
-                    // Nobody may be waiting any more.
+                    // The requester may have given up.
                     let _ = sender.send(outcome);
                 }
             }
@@ -465,13 +466,14 @@
         }
     }
 
-    /// Pings a home that owes an answer and is silent; returns where the link is to end.
+    /// Pings a peer that is slow to reply. Returns when the link should be closed because it is
+    /// idle or the peer is unresponsive.
     async fn monitor(&self) {
         loop {
             if self.lock().awaits_reply() {
                 sleep(CHECK_INTERVAL).await;
             } else {
-                // Whichever comes first: a question, or the time to see whether it is used.
+                // Wait for the next request or the next idle check, whichever comes first.
                 let _ = timeout(IDLE_TIMEOUT / 2, self.request_registered.notified()).await;
             }
             let now = Instant::now();
@@ -505,7 +507,7 @@
         self.next_id
     }
 
-    /// Whether an answer is due that does not wait for anything to happen.
+    /// Whether a prompt reply is expected. Long polls don't count: the peer holds them on purpose.
     fn awaits_reply(&self) -> bool {
         let mut reply_senders = self.reply_senders.values();
         reply_senders.any(|sender| !matches!(sender, ReplySender::Follow(_)))
--- a/crates/engine/src/link/frame.rs
+++ b/crates/engine/src/link/frame.rs
@@ -1,4 +1,4 @@
-//! What goes over a link: to the process that serves it, and back.
+//! The frames of the link protocol between processes.
 
 use crate::encoding;
 use crate::names::{DatabaseName, GroupName, MemberId, RequestId, TenantName};
@@ -13,112 +13,113 @@
 use std::time::Duration;
 use stilequay_coordination::lease::LeaseRecord;
 
-/// One question and its answer, on one link.
+/// Identifies a request and its answer; unique on one link.
 pub type ExchangeId = u64;
-/// What runs on one of the member's connections without a pause in which another may use
-/// it: a single statement, or a transaction. Counted on each link.
+/// Identifies a unit: a single statement or a transaction, which holds one connection to the
+/// member until it ends. Unique on one link.
 pub type UnitId = u64;
 
-/// To a home.
+/// A frame from the process that opened the link to the process that serves it.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum ToHome {
-    /// Run a command.
+    /// Runs a command on a member.
     Run(Box<RunRequest>),
-    /// Nobody waits for the unit any more: roll back what is open.
+    /// Abandons a unit; an open transaction is rolled back.
     Close(UnitId),
-    /// Tell what is believed of a group.
+    /// Queries the peer's view of a group.
     Ask {
-        /// The question.
+        /// The request.
         exchange: ExchangeId,
         /// The group.
         group: GroupName,
-        /// What is to be recent.
+        /// Which part of the view has to be fresh.
         wanted: RequiredFreshness,
     },
-    /// Tell what is newer.
+    /// Long-polls for updates from the store.
     Follow {
-        /// The question.
+        /// The request.
         exchange: ExchangeId,
-        /// Than this.
+        /// The versions that the requester has.
         known: FollowedVersions,
-        /// How long to wait for it.
+        /// How long the peer may hold the request while there is nothing newer.
         wait: Duration,
     },
-    /// Grant a permit for one operation.
+    /// Requests a permit for one operation.
     Draw {
-        /// The question.
+        /// The request.
         exchange: ExchangeId,
         /// The shard of the tenant's limit.
         shard: Shard,
         /// The tenant.
         tenant: TenantName,
-        /// Whether a permit is taken; else it is asked only whether the shard is counted.
+        /// Whether to consume a permit; otherwise only asks whether the peer counts the shard.
         takes: bool,
     },
-    /// Be ready to count a shard of the rate limits: its counter is going to be lost.
+    /// Asks the peer to prepare to count a shard of the rate limits, because its current counter
+    /// is about to go away.
     Want(Shard),
-    /// Know the lease of a shard of the rate limits, which its counter has just written.
+    /// Announces the lease of a shard of the rate limits that its counter has just written.
     CounterLease {
         /// The shard.
         shard: Shard,
-        /// What the store holds of it.
+        /// The lease as stored.
         record: Box<LeaseRecord>,
     },
-    /// Know the lease for promotions, which its holder has just written.
+    /// Announces the promotion lease that its holder has just written.
     PromotionLease(Box<LeaseRecord>),
-    /// Vouch, as the holder of that lease, that no record of a term is newer than which version.
+    /// Asks the holder of the promotion lease for the version of the newest term record.
     AskNewestTerm {
-        /// The question.
+        /// The request.
         exchange: ExchangeId,
     },
-    /// Say something.
+    /// Checks that the peer is alive.
     Ping,
 }
 
-/// What a process needs to be recent in a home's belief.
+/// Which part of a group's state has to be fresh.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequiredFreshness {
     /// Evidence for the leader's term.
     Evidence,
-    /// The same, from the store if need be, asked of its keeper.
+    /// Evidence for the leader's term that the home may fetch from the store if it has to.
     StoreEvidence,
-    /// A position that covers a recent moment.
+    /// A log position that covers all commits up to a recent time.
     Position,
 }
 
-/// A command and for whom it is run.
+/// A command with its routing and admission parameters.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RunRequest {
-    /// The unit: a new number begins one.
+    /// The unit; an id that was not used before begins a new one.
     pub unit: UnitId,
-    /// The question.
+    /// The request.
     pub exchange: ExchangeId,
-    /// The member that is to run it.
+    /// The member that runs it.
     pub member: MemberId,
     /// The session's database.
     pub database: DatabaseName,
-    /// On whose behalf it is run; the member is told this one.
+    /// The tenant on whose behalf it runs; passed on to the member.
     pub tenant: Option<TenantName>,
-    /// The route's rank.
+    /// The route's priority; 0 is the highest.
     pub rank: u32,
-    /// How long it may wait in a queue that stands.
+    /// How long it may wait in a standing queue, one that doesn't drain.
     pub patience: Duration,
-    /// How long it may wait for a connection at all.
+    /// Upper bound of the wait for a connection.
     pub wait: Duration,
-    /// The session's values.
+    /// The session variables.
     pub values: BTreeMap<Bytes, Bytes>,
     /// The command.
     pub command: HomeCommand,
 }
 
-/// A command as a home gets it: whole, so that any connection will do.
+/// A self-contained command: a home can run it on any of its connections to the member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HomeCommand {
     /// Opens a transaction.
     Begin {
-        /// It is not going to write.
+        /// Whether the transaction is read-only.
         read_only: bool,
-        /// What the member's log must hold.
+        /// The log position that the member must have reached.
         after: Option<LogPosition>,
     },
     /// Commits.
@@ -128,15 +129,15 @@
     },
     /// Rolls back.
     Rollback,
-    /// Runs a text.
+    /// Runs a statement text.
     Run {
         /// The caller's request.
         id: RequestId,
-        /// The whole text.
+        /// The complete text.
         text: Bytes,
         /// Whether it can change data.
         access: Access,
-        /// What the member's log must hold.
+        /// The log position that the member must have reached.
         after: Option<LogPosition>,
     },
     /// Runs a prepared statement.
@@ -145,24 +146,24 @@
         id: RequestId,
         /// The statement.
         prepared: PreparedStatement,
-        /// The caller's arguments unchanged.
+        /// The caller's arguments, unchanged.
         arguments: Bytes,
-        /// What the member's log must hold.
+        /// The log position that the member must have reached.
         after: Option<LogPosition>,
     },
 }
 
-/// Versions of what processes follow at the store; zero where nothing is known.
+/// Versions of the store's data that a process has; zero for data that it doesn't have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowedVersions {
-    /// What operators and servers declare.
+    /// What operators and servers have declared.
     pub declared: DeclaredVersions,
     /// The fleet's records.
     pub records: u64,
 }
 
-/// The store's versions as of which a process knows everything that its feeds hold; zero
-/// where one was never read.
+/// The store's version up to which a process has all changes of each feed; zero for a feed that
+/// was never read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct FeedVersions {
     /// Of the operator's documents.
@@ -173,28 +174,29 @@
     pub records: u64,
 }
 
-/// What a process that follows the store knows that is newer.
+/// Updates from the store, relayed by a process that has them.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StoreUpdates {
-    /// Since when something may have changed that it does not know; `None` where it does not
-    /// reach the store now. Counted when the question came, which is after it was sent.
+    /// Age of the time as of which the relaying process had all changes; `None` if it can't reach
+    /// the store at the moment. Measured when the request arrived, which is after it was sent.
     pub age: Option<Duration>,
-    /// Whether it has started a short while ago, and is learning everything.
+    /// Whether the relaying process has just started and is still loading its state.
     pub is_starting: bool,
-    /// The versions of the store as of which everything is told.
+    /// The store's versions as of which the updates are complete.
     pub feeds: FeedVersions,
-    /// What operators and servers declare.
+    /// What operators and servers have declared.
     pub declared: DeclaredState,
-    /// The fleet's records that have changed.
+    /// The changed records of the fleet.
     pub records: Vec<Record>,
-    /// The version as of which these are.
+    /// The version of the records.
     pub records_version: u64,
-    /// As of when they are known, ms after the question came; below zero before it.
+    /// The time as of which the records are complete, in ms after the request arrived; negative
+    /// if before.
     pub records_complete_after_ms: Option<i64>,
 }
 
 impl HomeCommand {
-    /// The caller's request, where it is one.
+    /// The caller's request, if the command belongs to one.
     pub fn id(&self) -> Option<&RequestId> {
         match self {
             HomeCommand::Begin { .. } | HomeCommand::Rollback => None,
@@ -205,98 +207,98 @@
     }
 }
 
-/// From a home.
+/// A frame from the process that serves the link to the process that opened it.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum FromHome {
-    /// What came of a command.
+    /// The outcome of a command.
     Ran {
-        /// The question.
+        /// The request.
         exchange: ExchangeId,
-        /// What came of it.
+        /// The outcome.
         outcome: HomeOutcome,
     },
-    /// What is believed.
+    /// The peer's view of a group.
     Beliefs {
-        /// The question.
+        /// The request.
         exchange: ExchangeId,
-        /// The beliefs; none where the group is not known.
+        /// A snapshot of the group; empty if the group is unknown.
         beliefs: Vec<GroupSnapshot>,
     },
-    /// What is newer.
+    /// Updates from the store.
     News {
-        /// The question.
+        /// The request.
         exchange: ExchangeId,
-        /// The news.
+        /// The updates.
         news: Box<StoreUpdates>,
     },
-    /// What came of asking for a permit.
+    /// The answer to a permit request.
     Drawn {
-        /// The question.
+        /// The request.
         exchange: ExchangeId,
-        /// What came of it.
+        /// Whether the permit was granted, and if not, why.
         drawn: Draw,
     },
-    /// What the holder of the lease for promotions vouches for.
+    /// The version of the newest term record, as known by the holder of the promotion lease.
     NewestTerm {
-        /// The question.
+        /// The request.
         exchange: ExchangeId,
-        /// The version of the newest record of a term; none where the lease is not held there.
+        /// The version of the newest term record; `None` if the peer doesn't hold the lease.
         version: Option<StoreVersion>,
     },
-    /// A part of the encoded frame that answers a question.
+    /// A part of an encoded answer that is too long for one frame.
     Part {
-        /// The question.
+        /// The request.
         exchange: ExchangeId,
-        /// The bytes.
+        /// The bytes of this part.
         bytes: Bytes,
-        /// Whether these are the last.
+        /// Whether this is the last part.
         is_last: bool,
     },
-    /// Something is said.
+    /// The answer to a ping.
     Pong,
-    /// The home is going to stop: units that begin later go elsewhere.
+    /// The peer is shutting down and accepts no new units.
     Leaving,
 }
 
-/// What came of a command at a home.
+/// The outcome of a command at a home.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HomeOutcome {
     /// The member answered.
     Answered(Answer),
-    /// It was not sent to the member.
+    /// The command was not sent to the member.
     NotSent(NotSent),
-    /// The connection failed after it had been sent.
+    /// The connection failed after the command was sent.
     Lost(String),
 }
 
 /// Why a command was not sent to the member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NotSent {
-    /// No connection was free in time.
+    /// No connection became free in time.
     Exhausted,
-    /// Requests wait for so long that more of them would all be late.
+    /// The queue is so long that another request would miss its deadline.
     Shed {
-        /// When to come back.
+        /// How long to wait before a retry.
         retry_after: Duration,
     },
-    /// The member is cold, and takes no more for a while.
+    /// The member is in slow start and its current budget is used up.
     SlowStart {
-        /// When to come back.
+        /// How long to wait before a retry.
         retry_after: Duration,
     },
-    /// The member can't be reached, or must not be used any more.
+    /// The member is unreachable or must no longer be used.
     Unreachable(String),
-    /// The home does not know the member: it has just started, or knows less of the store.
+    /// The home doesn't know the member, because it has just started or lags behind the store.
     UnknownMember,
-    /// The home must not send to the member, or can't tell whether it may.
+    /// The home must not send to the member, or can't determine whether it may.
     MayNotSend(String),
-    /// The home's configuration rules the member's region out.
+    /// The home's configuration excludes the member's region.
     OutsideRegions,
 }
 
-/// What goes over a link one way.
+/// A frame of one direction of a link.
 pub trait Frame: Serialize {
-    /// What kind of frame it is, as metrics tell of it.
+    /// The value of the `frame` label in metrics.
     fn kind(&self) -> &'static str;
 }
 
@@ -332,11 +334,11 @@
     }
 }
 
-/// Bytes of a long answer that are sent at once: what a slow machine's link takes in some 15 ms, so
-/// that whoever waits sees that more comes, and other answers pass between.
+/// Maximum number of bytes of an answer in one frame. The link of a slow machine transfers this
+/// much in about 15 ms, so the requester sees progress and other answers can be interleaved.
 const PART_BYTES: usize = 32 * 1_024;
 
-/// The frames in which the answer to `exchange` is sent: several, where it is long.
+/// Encodes the answer to `exchange`, split into [`FromHome::Part`] frames if it is long.
 pub fn encode_in_parts(exchange: ExchangeId, answer: &FromHome) -> Vec<Bytes> {
     let whole = to_bytes(answer);
     if whole.len() <= PART_BYTES {
@@ -356,7 +358,7 @@
     parts.collect()
 }
 
-/// A frame's bytes, which are counted by its kind.
+/// Encodes a frame and adds its size to the link metrics.
 pub fn encode<T: Frame>(frame: &T) -> Bytes {
     let encoded = to_bytes(frame);
     count(frame, &encoded);
@@ -372,7 +374,7 @@
     metrics::counter!("stilequay_link_bytes_total", "frame" => frame.kind()).increment(bytes);
 }
 
-/// Reads a frame; `None` where it makes no sense.
+/// Decodes a frame; returns `None` if it is malformed.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a Bytes) -> Option<T> {
     rmp_serde::from_slice(bytes).ok()
 }
--- a/crates/engine/src/link/links.rs
+++ b/crates/engine/src/link/links.rs
@@ -1,4 +1,4 @@
-//! All links of this process: one to each other process that it asks, opened when needed.
+//! The pool of links of this process: at most one per peer, opened on demand.
 
 use super::client::{Link, OnSuspect};
 use super::frame::{FromHome, ToHome, decode, encode};
@@ -11,17 +11,18 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Longest time in which a link opens.
+/// Timeout for opening a link, including the first ping.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(350);
-/// How long a request waits for a link that is being opened, before it goes elsewhere.
+/// How long a request waits for links that are being opened before it goes elsewhere.
 const OPEN_WAIT: Duration = Duration::from_millis(60);
-/// First pause before a link that could not be opened is tried again, and the longest.
+/// Initial pause before a failed attempt to open a link is retried; doubled after each failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Upper bound of that pause.
 const RETRY_PAUSE_MAX: Duration = Duration::from_millis(1_600);
-/// Pause before a home that is going to stop is tried again.
+/// Pause before a link to a peer that is shutting down is opened again.
 const LEAVING_PAUSE: Duration = Duration::from_secs(2);
 
-/// How far a link to one process has come.
+/// The state of the link to one peer.
 #[derive(Debug, Clone)]
 enum LinkSlot {
     Opening,
@@ -29,11 +30,11 @@
     Failed { until: Instant, pause: Duration },
 }
 
-/// Links by where the other side listens.
+/// Links by the listen address of the peer.
 type LinkSlots = HashMap<SocketAddr, LinkSlot>;
 
-/// Whether the other side of a new link answers: a process that stands still accepts
-/// connections too.
+/// Whether the peer of a new link answers a ping. An accepted connection doesn't show that: the
+/// kernel also accepts connections for a stalled process.
 async fn responds_to_ping(link: &mut PeerLink) -> bool {
     let sent = link.tx.send(encode(&ToHome::Ping)).await;
     let answer = match sent {
@@ -44,8 +45,8 @@
     matches!(answer, Some(FromHome::Pong))
 }
 
-/// Has all links pinged: they may have gone silent together, and each would cost a request its
-/// time to find out.
+/// Creates a callback that pings all links. Links often fail together, and otherwise each failure
+/// would be detected only by a request that times out.
 fn ping_all(slots: &Arc<Mutex<LinkSlots>>) -> OnSuspect {
     let slots = Arc::downgrade(slots);
     OnSuspect(Box::new(move || {
@@ -61,7 +62,7 @@
     }))
 }
 
-/// Links to all processes that this one uses.
+/// A pool of links.
 #[derive(Debug)]
 pub struct Links {
     network: Arc<dyn PeerNetwork>,
@@ -70,7 +71,7 @@
 }
 
 impl Links {
-    /// No link yet.
+    /// Creates an empty pool that opens links through `network`.
     pub fn new(network: Arc<dyn PeerNetwork>) -> Self {
         Self {
             network,
@@ -79,13 +80,14 @@
         }
     }
 
-    /// The first usable link to one of `addresses`, in their order. Links that are not open
-    /// are opened, and waited for a moment.
+    /// Returns the first usable link to one of `addresses`, in order of preference. Links that
+    /// aren't open yet are opened and awaited for a short time.
     pub async fn first_usable(&self, addresses: &[SocketAddr]) -> Option<Arc<Link>> {
         self.first_usable_where(addresses, |_| true).await
     }
 
-    /// Gives `action` a usable link to each of `addresses` that has one, all side by side.
+    /// Runs `action` on a usable link to each of `addresses`, concurrently; addresses without one
+    /// are skipped.
     pub async fn for_each_usable(&self, addresses: Vec<SocketAddr>, action: impl Fn(&Link)) {
         let calls = addresses.into_iter().map(|address| {
             let action = &action;
@@ -98,7 +100,7 @@
         join_all(calls).await;
     }
 
-    /// As [`Links::first_usable`], for a link other than `excluded`.
+    /// Like [`Links::first_usable`], but never returns `excluded`.
     pub async fn first_usable_except(
         &self,
         addresses: &[SocketAddr],
@@ -135,7 +137,8 @@
         }
     }
 
-    /// The place of `address`; a link is opened where there is none and it is time.
+    /// Returns the slot of `address`. Starts to open a link if there is none and no retry pause is
+    /// running.
     fn get_or_open(&self, address: SocketAddr) -> LinkSlot {
         let now = Instant::now();
         let mut slots = lock(&self.slots);
@@ -143,8 +146,8 @@
         let pause = match known {
             None => RETRY_PAUSE,
             Some(LinkSlot::Open(link)) if !link.is_open() => RETRY_PAUSE,
-            // Connections may go silent for good while new ones work. What was begun on the
-            // silent one waits for its answer there.
+            // An established connection may hang for good while new ones work. Requests in flight
+            // on the old link still wait there for their answers.
             Some(LinkSlot::Open(link)) if link.is_suspect() => {
                 slots.insert(address, LinkSlot::Opening);
                 drop(slots);
@@ -153,7 +156,7 @@
             }
             Some(LinkSlot::Failed { until, pause }) if now >= until => pause,
             Some(LinkSlot::Open(link)) if link.is_leaving() => {
-                // What was begun there goes on there.
+                // Units in progress continue on the old link.
                 let until = now + LEAVING_PAUSE;
                 let pause = RETRY_PAUSE;
                 slots.insert(address, LinkSlot::Failed { until, pause });
--- a/crates/engine/src/link/mod.rs
+++ b/crates/engine/src/link/mod.rs
@@ -1,5 +1,6 @@
-//! Links between processes of the fleet: one to each process that is asked often, shared by
-//! all that ask it. [`serving`](crate::serving) is the other side.
+//! Persistent, multiplexed connections between processes of the fleet. A process keeps one link
+//! to each peer that it queries often and shares it among all callers. The server side is
+//! [`serving`](crate::serving).
 
 mod client;
 pub mod frame;
