--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -1,25 +1,25 @@
-//! Following the store, or another process that does.
+//! Following changes in the store, directly or through relays.
 //!
-//! In a small fleet every process follows the store itself. In a larger one two processes do.
-//! The first two of each zone ask one of these for what is newer than what they know, and the
-//! others ask the first two of their zone: so what the store is asked does not grow with the
-//! fleet, and nobody tells more than a zone. A process that is told nothing recent by these
-//! looks further (module `search`), and goes back to the store, within the time in which it has to
-//! know.
+//! In a small fleet every process watches the store itself. In a larger one only two processes do.
+//! The first two processes of each zone poll one of these two for updates, and the other processes
+//! poll the first two of their zone. The load on the store therefore doesn't grow with the fleet,
+//! and no process serves more than one zone. A process that gets no recent updates from its
+//! sources widens the search (module `search`) and falls back to the store, within the time in
+//! which it must learn of changes.
 //!
-//! | what happens | what comes of it |
+//! | event | behavior |
 //! | --- | --- |
-//! | one that others ask ends, is cut off, or does not answer | they ask the second as soon as its answer is late |
-//! | both are | who is asked by others goes to the store at once; any other asks two of other zones, then a few drawn from the whole fleet, then the store |
-//! | the store turns one away, or is silent to it | it says so once what it knows is old, and looks further itself |
-//! | the network is split | each side has what any of its processes knows |
-//! | a process holds the lease for promotions | it follows the store too |
-//! | the store is away | all ask it, less and less often |
-//! | a process starts | it reads the index of the fleet only, and asks those that are listed for all else |
-//! | they have started too, and know nothing yet | they say so, and it waits for them |
-//! | a fleet starts for the first time | its processes read each other's records until they know enough to ask |
-//! | a process begins to follow the store | it goes on from the version that it was told, and reads whole tables only where the store has forgotten what came after it |
-//! | processes disagree on whom to ask | whoever is asked answers with what it knows, and how old that is |
+//! | a relay ends, is cut off, or doesn't answer | its clients ask the second relay as soon as the answer is late |
+//! | both relays fail | a process that is itself a relay goes to the store at once; any other asks two relays of other zones, then a few random processes of the fleet, then the store |
+//! | the store refuses a relay or doesn't answer it | the relay reports that once its data is old, and widens the search itself |
+//! | the network is partitioned | each side has the newest data of any of its processes |
+//! | a process holds the promotion lease | it watches the store too |
+//! | the store is down | all processes retry with increasing pauses |
+//! | a process starts | it reads only the fleet index from the store, and everything else from the processes listed there |
+//! | these have just started too and have no data yet | they say so, and the process waits for them |
+//! | a fleet starts for the first time | its processes read each other's records until they know enough peers to ask |
+//! | a process begins to watch the store | it resumes from the version that it got from relays, and reads whole tables only if the store no longer has the changes since then |
+//! | processes disagree about who the relays are | any process that is asked answers with the data that it has and its age |
 
 mod search;
 
@@ -38,82 +38,84 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-/// Processes that may follow the store themselves, each.
+/// Largest fleet in which every process watches the store itself.
 const MAX_DIRECT_FLEET: usize = 16;
-/// How long one question waits for news.
+/// How long a relay holds a long poll for updates.
 const UPDATE_WAIT: Duration = Duration::from_millis(900);
-/// The same as a share of the time within which a removed credential, or an evacuation, must
-/// be known everywhere.
-/// A process proves its configuration by way of two others: this share for each of these, and
-/// two waits at the store, leave three fifths of that time for a source that is lost.
+/// Upper bound of the same wait, as a share of the time within which a removed credential, or an
+/// evacuation, must be known everywhere. A process proves that its configuration is current
+/// through two relays. One wait at each of them and two waits at the store leave three fifths of
+/// that time to recover from the loss of a source.
 const PROOF_WAIT_SHARE: f64 = 0.1;
-/// Age of a proof of the configuration, as a share of the time within which a removed
-/// credential must be known, from which on a process looks for a better one. A proof that was
-/// just told is three waits old at most where nothing is amiss, three tenths of that time; what
-/// is left suffices for the search and a silent call at the store.
+/// Age of a configuration proof from which on a process looks for a newer one, as a share of the
+/// time within which a removed credential must be known. In normal operation a proof is at most
+/// three waits old on arrival, three tenths of that time. The remaining time is enough for the
+/// search and for one store call that gets no answer.
 const RECENT_PROOF_SHARE: f64 = 0.4;
-/// What the knowledge of a process that follows the store may be older than one of its waits
-/// there.
+/// How much older than one watch timeout the data of a process that watches the store may be.
 const AGE_MARGIN: Duration = Duration::from_millis(600);
-/// Longest time after the start in which a fleet that starts for the first time comes to know
-/// itself: each process writes a record, and the store takes some hundred a second.
+/// Upper bound of fleet discovery after the first start of a fleet. Each process writes a record,
+/// and the store accepts about a hundred per second.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time without another process after which such a fleet counts as known.
+/// Time without newly discovered processes after which discovery ends.
 const DISCOVERY_QUIET_PERIOD: Duration = Duration::from_millis(400);
-/// Pause between two readings of its processes; a random part of as much is added.
+/// Pause between two reads of the process records; up to the same time is added at random.
 const DISCOVERY_PAUSE: Duration = Duration::from_millis(150);
-/// Interval in which a process that starts looks whether it has taken the fleet in.
+/// Interval at which a starting process checks whether the fleet that it read was applied.
 const FLEET_CHECK_INTERVAL: Duration = Duration::from_millis(1);
-/// How long after its start a process may wait for others that are starting too, as a share of the
-/// time within which a change must be known; then it turns to the store itself.
+/// How long after its start a process may wait for others that are starting too, as a share of
+/// the propagation bound; then it goes to the store itself.
 const STARTING_PROPAGATION_SHARE: f64 = 0.6;
-/// Pause before one that is starting is asked again: its answer was held for a wait before.
+/// Pause before a starting process is asked again. It can be short, because the process already
+/// held the previous request for a full wait.
 const STARTING_PAUSE: Duration = Duration::from_millis(20);
-/// Pause after nobody told anything, and of a process that follows by itself.
+/// Pause between rounds that learned nothing, and between rounds of a process that watches the
+/// store itself.
 const ROUND_PAUSE: Duration = Duration::from_millis(250);
-/// Pause after an answer with changes, in a large fleet, before more is asked for: changes that
-/// come close together are told at once.
+/// Pause after an answer with changes, in a large fleet, before the next request, so that changes
+/// in quick succession are batched.
 const MIN_FEED_PAUSE: Duration = Duration::from_millis(25);
-/// The same while changes go on and on, as thousands of entries do that are written at a start:
-/// each answer wakes whoever asks here. Well below the time in which a change must be known.
+/// Upper bound of that pause, which grows while changes continue, such as when thousands of
+/// entries are written at a start. Each answer wakes all clients of a relay. Well below the
+/// propagation bound.
 const MAX_FEED_PAUSE: Duration = Duration::from_millis(250);
 
-/// Time over which processes turn to the store that others don't ask, when nobody tells them
-/// anything recent: hundreds would begin in one moment, and most find one that was quicker.
+/// Time over which processes that aren't relays spread their fallback to the store. Otherwise
+/// hundreds would go there at once; with the spread, most find a process that was faster.
 const STORE_FALLBACK_SPREAD: Duration = Duration::from_millis(400);
 
-/// Pause before the store is asked again after a failure; a random part of as much is added.
+/// Initial pause before a failed store call is retried; up to the same time is added at random.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// How often that pause doubles while the store goes on failing, at the most.
+/// Maximum number of doublings of that pause while the store keeps failing.
 const MAX_DOUBLINGS: u32 = 6;
-/// Longest pause, as a share of the time within which a change must be known.
+/// Upper bound of that pause, as a share of the propagation bound.
 const RETRY_PROPAGATION_SHARE: f64 = 0.15;
 
-/// What is followed.
+/// A stream of changes in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Feed {
     /// The operator's configuration.
     Configuration,
-    /// The servers' entries.
+    /// The servers' directory entries.
     Directory,
-    /// The records of the fleet.
+    /// The fleet's records.
     Records,
 }
 
 /// Number of [`Feed`]s.
 const FEEDS: usize = 3;
 
-/// How far one feed is known.
+/// How current this process is with one feed.
 #[derive(Debug, Clone, Copy, Default)]
 struct FeedState {
-    /// As of when the store had told everything.
+    /// The time as of which this process has all changes of the feed.
     current_as_of: Option<Instant>,
-    /// The store's version as of which everything is known; zero where nothing is. Whoever
-    /// begins to follow the store goes on from here, as long as it remembers that far back.
+    /// The store version up to which this process has all changes; zero if it has none. Watching
+    /// the store resumes from here if the store's history still reaches back that far.
     version: u64,
-    /// Whether the store has failed to answer lately.
+    /// Whether recent store calls failed.
     failing: bool,
-    /// When the answer before came that brought changes, and the pause after it.
+    /// The time of the last answer with changes, and the pause after it.
     last_change: Option<(Instant, Duration)>,
 }
 
@@ -124,26 +126,26 @@
     }
 }
 
-/// Where this process learns what the store holds.
+/// Where this process gets its updates from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mode {
-    /// Not known yet: the process has just started.
+    /// Undecided, because the process has just started and doesn't know the fleet.
     Discovering,
-    /// From the store itself.
+    /// The store itself.
     Direct,
-    /// From other processes.
+    /// Other processes.
     Relayed,
 }
 
-/// Whether this process follows the store itself, and how recent what it knows is.
+/// Where this process gets its updates from, and how current its data is.
 #[derive(Debug)]
 pub struct Following {
     mode: watch::Sender<Mode>,
     started: Instant,
     feeds: Mutex<[FeedState; FEEDS]>,
-    /// As of when the configuration in use was the newest.
+    /// The time as of which the configuration in use was known to be the newest.
     proof: watch::Sender<Option<Instant>>,
-    /// Whether the store has told this process all feeds; wakes those that wait for that here.
+    /// Whether this process has read all feeds from the store.
     is_complete: watch::Sender<bool>,
 }
 
@@ -160,13 +162,13 @@
 }
 
 impl Following {
-    /// Whether this process follows the store itself.
+    /// Whether this process watches the store itself.
     pub fn is_direct(&self) -> bool {
         *self.mode.borrow() == Mode::Direct
     }
 
-    /// Returns once this process is to follow the store itself; whether it has learned from
-    /// others before, so that it goes on from what they have told.
+    /// Waits until this process should watch the store itself. Returns whether it got updates from
+    /// relays before, so that it can resume from them.
     pub async fn wait_until_direct(&self) -> bool {
         let mut mode = self.mode.subscribe();
         let mut has_learned = false;
@@ -176,13 +178,13 @@
                 Mode::Relayed => has_learned = true,
                 Mode::Discovering => {}
             }
-            // The sender lives as long as this does.
+            // Can't fail: `self` owns the sender.
             let _ = mode.changed().await;
         }
     }
 
-    /// Notes that the store has told everything that `feed` holds as of `at`, and as of its
-    /// `version`, and that it has been taken.
+    /// Records that all changes of `feed` up to the store's `version`, as of `at`, were received
+    /// from the store and applied.
     pub fn mark_current(&self, feed: Feed, at: Instant, version: u64) {
         let is_complete = {
             let mut feeds = self.lock();
@@ -197,8 +199,9 @@
         }
     }
 
-    /// The same of what another process has told of all feeds. Whether the store fails to
-    /// answer this one stays as it is: it does not tell others what it may not know for long.
+    /// Like [`Following::mark_current`], for updates of all feeds from a peer. Keeps the failing
+    /// state: a process with a failing store must not act as a relay, because its data may soon be
+    /// outdated.
     fn mark_current_from_peer(&self, at: Instant, versions: FeedVersions) {
         let mut feeds = self.lock();
         feeds[Feed::Configuration as usize].advance(at, versions.configuration);
@@ -206,15 +209,15 @@
         feeds[Feed::Records as usize].advance(at, versions.records);
     }
 
-    /// Notes that the store has failed to tell of `feed`, for the `failures`th time in a row.
-    /// One failure says little; the next call may be answered.
+    /// Records that a store call for `feed` failed for the `failures`th time in a row. A single
+    /// failure doesn't count, because the next call may succeed.
     pub fn mark_failed(&self, feed: Feed, failures: u32) {
         self.lock()[feed as usize].failing = failures > 1;
     }
 
-    /// Notes that the configuration in use was the newest at `at`: the moment before the
-    /// question was sent whose answer has shown it, or what another process tells of such a
-    /// moment. To be called once the configuration is in use.
+    /// Records that the configuration in use was the newest at `at`. That is the time at which the
+    /// store call that showed it was sent, as measured here or reported by a peer. Must be called
+    /// after the configuration was taken into use.
     pub fn prove_configuration(&self, at: Instant) {
         self.proof.send_if_modified(|proof| {
             let later = proof.is_none_or(|known| known < at);
@@ -225,13 +228,13 @@
         });
     }
 
-    /// As of when the configuration in use is known to have been the newest. Ages of what
-    /// others tell only grow on the way, so this is never too late, whatever stood still.
+    /// The time as of which the configuration in use is known to have been the newest. Transit and
+    /// stalls only make ages of relayed data larger, so this time is never too late.
     pub fn configuration_complete_as_of(&self) -> Option<Instant> {
         *self.proof.borrow()
     }
 
-    /// Tells of later proofs.
+    /// Subscribes to newer proofs.
     pub fn subscribe_proof(&self) -> watch::Receiver<Option<Instant>> {
         self.proof.subscribe()
     }
@@ -240,7 +243,7 @@
         self.lock().iter().any(|feed| feed.failing)
     }
 
-    /// Since when something may have changed that this process does not know.
+    /// The time as of which this process has all changes of all feeds.
     pub fn current_as_of(&self) -> Option<Instant> {
         let feeds = *self.lock();
         feeds
@@ -250,8 +253,8 @@
             .flatten()
     }
 
-    /// The version from which on the store is to be asked for changes of `feed`; `None`
-    /// where it has to be read in whole.
+    /// The version from which to watch the store for changes of `feed`; `None` if the whole table
+    /// has to be read.
     pub fn resume_from(&self, feed: Feed) -> Option<u64> {
         Some(self.lock()[feed as usize].version).filter(|version| *version > 0)
     }
@@ -265,8 +268,8 @@
         }
     }
 
-    /// How long to wait after an answer with changes of `feed`, which was taken `now`: longer while
-    /// one comes right after the other.
+    /// The pause after an answer with changes of `feed` that was applied at `now`. Doubles while
+    /// answers follow each other closely.
     fn next_feed_pause(&self, feed: Feed, now: Instant) -> Duration {
         let state = &mut self.lock()[feed as usize];
         let before = state
@@ -280,7 +283,7 @@
 
     fn set_mode(&self, mode: Mode) {
         if mode == Mode::Relayed {
-            // It does not ask the store any more.
+            // It no longer calls the store.
             self.lock().iter_mut().for_each(|feed| feed.failing = false);
         }
         self.mode.send_if_modified(|current| {
@@ -295,14 +298,15 @@
     }
 }
 
-/// Whether the fleet is so large that most of it follows the store through a few.
+/// Whether the fleet is so large that most processes get updates through relays.
 pub fn uses_relays(engine: &Engine) -> bool {
     engine.homes().fleet_len() > MAX_DIRECT_FLEET
 }
 
-/// Learns from other processes, where there are some to learn from, until the process ends.
+/// Chooses between the store and relays, and polls the relays, until the process ends.
 ///
-/// Whoever holds `duty` follows the store itself: what others report there must reach it soon.
+/// The process that holds `duty` watches the store itself, because it must see the reports of
+/// others there without delay.
 pub async fn follow(engine: &Engine, duty: &Duty) {
     let mut dependency = DependencyMonitor::new("followers");
     let mut search = Search::default();
@@ -327,16 +331,16 @@
     }
 }
 
-/// Returns once the fleet is known, or so much of it that others are asked. Until then only its
-/// index is read, or where there is none the records of its processes: whole tables, read by
-/// hundreds that start in one moment, are more than the store can send.
+/// Waits until the fleet is known, or at least enough of it to use relays. Until then only the
+/// fleet index is read, or the process records if there is no index. If hundreds of processes that
+/// start at once read whole tables, the store couldn't keep up.
 async fn discover_fleet(engine: &Engine) {
     let until = engine.following().started + DISCOVERY_TIMEOUT;
     let (mut known, mut since) = (0, Instant::now());
     let mut is_restart = None;
     let mut has_index = None;
     loop {
-        // A failure is told by the tasks that follow the store from here on.
+        // Failures are reported by the tasks that watch the store afterwards.
         if has_index.is_none() {
             has_index = engine.terms().read_index().await.ok();
         }
@@ -362,7 +366,7 @@
     }
 }
 
-/// Returns once the processes that were read count as the fleet.
+/// Waits until the processes that were read are applied as the fleet.
 async fn wait_until_fleet_applied(engine: &Engine) {
     let read = fleet::count(engine);
     while engine.processes() < read {
@@ -370,24 +374,24 @@
     }
 }
 
-/// One round of a process that follows the store for others: while the store turns it away,
-/// others may know more.
+/// One round of a process that watches the store itself. Asks peers while its store calls fail,
+/// because they may have newer data.
 async fn follow_store(engine: &Engine, search: &mut Search) {
     engine.following().set_mode(Mode::Direct);
     if needs_peer_updates(engine) {
-        // That the store does not answer is told by the tasks that ask it.
+        // Store failures are reported by the tasks that watch it.
         let _ = search.widen_search(engine, true).await;
     }
     sleep(ROUND_PAUSE).await;
 }
 
-/// One round of any other process: it asks `peers`, looks further where they tell nothing
-/// recent, and goes to the store itself where nobody does. One that others ask goes there at
-/// once: they wait for it.
+/// One round of a process that uses relays. Polls `peers`, widens the search if they have nothing
+/// recent, and falls back to the store if no process has. A relay goes to the store at once,
+/// because its clients wait for it.
 ///
 /// # Errors
 ///
-/// The reason why nothing recent was learned.
+/// Returns the reason why nothing recent was learned.
 async fn follow_peers(
     engine: &Engine,
     peers: &[SocketAddr],
@@ -404,7 +408,7 @@
             }
             return Ok(());
         }
-        // It answers as soon as it knows everything.
+        // The peer will answer as soon as it has loaded everything.
         Err(NoUpdates::Starting) if is_starting(engine) => {
             sleep(STARTING_PAUSE).await;
             return Ok(());
@@ -422,7 +426,7 @@
             following.set_mode(Mode::Relayed);
             return Ok(());
         }
-        // What happens to know something recent now need not know it for long.
+        // A random process that has recent data now won't necessarily stay up to date.
         _ if search.is_store_due() => following.set_mode(Mode::Direct),
         _ => {}
     }
@@ -431,20 +435,20 @@
     learned.map(|_| ())
 }
 
-/// Whether a process that follows the store should ask others too.
+/// Whether a process that watches the store should ask peers too.
 fn needs_peer_updates(engine: &Engine) -> bool {
     engine.following().is_failing() || !is_recent(engine, Instant::now())
 }
 
-/// Waits after an answer with changes of `feed`, in a large fleet, before more is asked for.
+/// Pauses after an answer with changes of `feed`, in a large fleet, to batch further changes.
 pub async fn pause_after_changes(engine: &Engine, feed: Feed) {
     if engine.processes() > MAX_DIRECT_FLEET {
         sleep(engine.following().next_feed_pause(feed, Instant::now())).await;
     }
 }
 
-/// How long to wait before the store is asked again after it has failed `failures` times in
-/// a row. In a large fleet the wait grows: what is refused costs the store too.
+/// The pause before the next store call after `failures` failures in a row. In a large fleet it
+/// grows with the failures, because refused calls cost the store as well.
 pub fn retry_backoff(engine: &Engine, failures: u32) -> Duration {
     let doublings = match engine.processes() > MAX_DIRECT_FLEET {
         true => failures.saturating_sub(1).min(MAX_DOUBLINGS),
@@ -458,7 +462,7 @@
     pause.mul_f64(1.0 + rand::random::<f64>())
 }
 
-/// Whether what this process knows at `now` is as recent as it is while nothing is amiss.
+/// Whether the data of this process at `now` is as recent as in normal operation.
 pub fn is_recent(engine: &Engine, now: Instant) -> bool {
     !is_out_of_date(engine, now) && is_proof_recent(engine, now)
 }
@@ -472,14 +476,14 @@
     proof.is_some_and(|at| now.saturating_duration_since(at) < limit)
 }
 
-/// Whether this process has not heard of the store for longer than it should, at `now`.
+/// Whether the data of this process at `now` is older than [`age_limit`].
 pub fn is_out_of_date(engine: &Engine, now: Instant) -> bool {
     let as_of = engine.following().current_as_of();
     as_of.is_none_or(|at| now > at + age_limit(engine))
 }
 
-/// Greatest age of what a process knows of the store, while it is told: one wait of who
-/// follows the store, and one of who asks that one for others.
+/// Maximum age of a process's data in normal operation: one watch timeout of the process that
+/// watches the store, and one wait of the relay that polls it.
 pub fn age_limit(engine: &Engine) -> Duration {
     let relayed = match uses_relays(engine) {
         true => update_wait(engine),
@@ -488,12 +492,12 @@
     engine.watch_timeout() + AGE_MARGIN + relayed
 }
 
-/// How long one question waits for news here.
+/// How long a relay may hold a long poll of this process.
 fn update_wait(engine: &Engine) -> Duration {
     proof_wait(engine).map_or(UPDATE_WAIT, |wait| UPDATE_WAIT.min(wait))
 }
 
-/// How old the proof of what is in use may be; `None` where none is needed.
+/// Maximum age of the proof that the data in use is current; `None` if no proof is needed.
 fn proof_bound(engine: &Engine) -> Option<Duration> {
     let settings = engine.settings();
     let revocation = settings.tenants.as_ref().map(|policy| policy.revocation);
@@ -503,20 +507,20 @@
         .min()
 }
 
-/// Longest wait for news where what is in use must be proven.
+/// Upper bound of long polls if a proof is needed.
 fn proof_wait(engine: &Engine) -> Option<Duration> {
     proof_bound(engine).map(|bound| bound.mul_f64(PROOF_WAIT_SHARE))
 }
 
-/// How long one call waits for changes of the configuration at the store.
+/// The timeout of one store call that watches the configuration.
 pub fn configuration_watch_timeout(engine: &Engine) -> Duration {
     let wait = engine.watch_timeout();
     proof_wait(engine).map_or(wait, |longest| wait.min(longest))
 }
 
-/// How long one call waits for changes at the store that usually waits for `wait`. One that
-/// follows after the process has `turned` to the store, or after `failures`, does not wait:
-/// what it answers tells at once that nothing was missed, half a second or more sooner.
+/// The timeout of the next store call that watches for changes, usually `wait`. The first call
+/// after the process has `turned` to the store, or after `failures`, returns at once: its answer
+/// shows half a second or more earlier that nothing was missed.
 pub fn initial_watch_timeout(turned: bool, failures: u32, wait: Duration) -> Duration {
     match turned || failures > 0 {
         true => Duration::ZERO,
@@ -542,9 +546,9 @@
     }
 }
 
-/// Whether this process has started a short while ago, is learning all that the store holds, and
-/// has not failed to. After a loss of all power hundreds ask it meanwhile. They wait for it: if
-/// they all read whole tables, the store would be as slow as to keep it from learning, too.
+/// Whether this process has recently started and is loading its state without failures. After a
+/// power loss of the whole fleet, hundreds of processes ask it meanwhile and wait for it. If they
+/// all read whole tables instead, the store would become too slow even for this process.
 fn is_starting(engine: &Engine) -> bool {
     let following = engine.following();
     let longest = engine
@@ -555,8 +559,9 @@
     is_young && following.current_as_of().is_none() && !following.is_failing()
 }
 
-/// What this process knows that is newer than `known`; waits up to `wait` for something
-/// newer, while what it knows is recent. One that is starting answers once it knows everything.
+/// Serves a long poll: returns updates newer than `known`, waiting up to `wait` for some while the
+/// data of this process is recent. A process that is starting answers once it has loaded
+/// everything.
 pub async fn updates_since(
     engine: &Engine,
     known: FollowedVersions,
@@ -594,9 +599,9 @@
     }
 }
 
-/// What is newer than `known`, for a question that came at `asked`.
+/// Collects the updates newer than `known`, for a request that arrived at `asked`.
 fn collect_updates(engine: &Engine, known: FollowedVersions, asked: Instant) -> StoreUpdates {
-    // Before what is known is gathered: it must hold no less than these tell.
+    // Must be read before the data, which must be at least as new as these claim.
     let (as_of, feeds) = (
         engine.following().current_as_of(),
         engine.following().versions(),
--- a/crates/engine/src/following/search.rs
+++ b/crates/engine/src/following/search.rs
@@ -1,8 +1,9 @@
-//! Asking other processes for what is newer, until one tells something recent.
+//! The search for a process that has recent updates.
 //!
-//! A process asks its sources by rank, two at once when the first is late; then two processes
-//! that tell other zones and a few drawn from the whole fleet, since a rank does not know who
-//! is cut off. What one of these tells counts like any other answer: with the age that it has.
+//! A process polls its sources in order of rank, with a hedged request to the second if the first
+//! is late. If that fails, it asks two relays of other zones and a few random processes of the
+//! fleet, because ranks don't reflect which processes are cut off. All answers are treated the
+//! same and judged by their age.
 
 use super::{STORE_FALLBACK_SPREAD, apply_updates, is_recent, known_versions, update_wait};
 use crate::engine::Engine;
@@ -17,51 +18,51 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// What an answer may take longer than the wait that it was asked with.
+/// How much longer than the requested wait an answer may take.
 const ANSWER_MARGIN: Duration = Duration::from_millis(250);
-/// Lateness of an answer from which on a second process is asked: a round trip between regions,
-/// 25 ms, and the turn of a busy machine. A silent link costs this in place of all of
-/// [`ANSWER_MARGIN`].
+/// How late an answer may be before a hedged request is sent to a second process. Covers a round
+/// trip between regions, 25 ms, and scheduling delays on a busy machine. An unresponsive link
+/// costs only this time instead of the whole [`ANSWER_MARGIN`].
 const HEDGE_MARGIN: Duration = Duration::from_millis(100);
-/// Processes drawn from the whole fleet at a time. Where a fifth of the fleet knows something
-/// recent, three rounds find one in three of four cases.
+/// Number of random processes asked per round. If a fifth of the fleet has recent data, three
+/// rounds find such a process in three of four cases.
 const SCOUTS: usize = 2;
 
 quick_error! {
-    /// Why nothing recent was learned of a process.
+    /// Why no recent updates were obtained.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum NoUpdates {
-        /// None of those that are to tell it is reached.
+        /// No source could be reached.
         Unreachable {
-            display("no process that follows the store is reached")
+            display("no source of updates is reachable")
         }
-        /// It did not answer.
+        /// The peer did not answer in time.
         Silent {
-            display("no news in time")
+            display("the peer did not answer in time")
         }
-        /// It has just started, and is learning everything itself.
+        /// The peer has just started and is still loading its state.
         Starting {
-            display("who was asked is starting")
+            display("the peer is still starting")
         }
-        /// It knows of no recent answer of the store.
+        /// The peer got no recent answer from the store.
         StoreFailing {
-            display("who was asked is turned away by the store")
+            display("the peer gets no answers from the store")
         }
-        /// What it knows was so old when it was asked.
+        /// The peer's data was this old when the request was sent.
         Old(age: Duration) {
-            display("what was told was {age:?} old when it was asked for")
+            display("the peer's data was {age:?} old when it was requested")
         }
     }
 }
 
-/// Which step of a search a question belongs to.
+/// The step of a search that a request belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Step {
-    /// Of the processes that are to tell this one, by rank.
+    /// The regular sources of this process, by rank.
     Source,
-    /// Of those that tell other zones, by rank.
+    /// The relays of other zones, by rank.
     Elsewhere,
-    /// Drawn from the whole fleet.
+    /// Random processes of the fleet.
     Scout,
 }
 
@@ -75,21 +76,21 @@
     }
 }
 
-/// What a process remembers between two rounds of asking.
+/// The state that is kept between two rounds of a search.
 #[derive(Debug, Default)]
 pub(super) struct Search {
-    /// The process outside its sources that last told something recent.
+    /// The last process outside the regular sources that had recent updates.
     fresh_peer: Option<(Arc<Link>, Step)>,
-    /// From when on the store is to be asked, while nobody that is to tells anything recent.
+    /// When to fall back to the store if the sources still have nothing recent.
     store_due: Option<Instant>,
 }
 
 impl Search {
-    /// Asks `sources`, the first of them for what comes within a wait.
+    /// Polls `sources`; the first of them may hold the request.
     ///
     /// # Errors
     ///
-    /// The reason why nothing recent was learned.
+    /// Returns the reason why no recent updates were obtained.
     pub async fn ask_sources(
         &mut self,
         engine: &Engine,
@@ -100,13 +101,13 @@
         Ok(())
     }
 
-    /// Asks the process outside the sources that last told something recent; where there is
-    /// none, two that tell other zones and, `with_scouts`, a few of the whole fleet, all at
-    /// once. Returns by which step something recent was learned.
+    /// Asks the last process outside the sources that had recent updates. If there is none or it
+    /// has no more, concurrently asks two relays of other zones and, if `with_scouts` is set, a few
+    /// random processes of the fleet. Returns the step that found recent updates.
     ///
     /// # Errors
     ///
-    /// The reason why nothing recent was learned.
+    /// Returns the reason why no recent updates were obtained.
     pub async fn widen_search(
         &mut self,
         engine: &Engine,
@@ -129,20 +130,20 @@
             None => ask_many(engine, with_scouts).await,
         };
         let fresh_peer = self.fresh_peer.as_ref().map(|(_, step)| *step);
-        let step = fresh_peer.ok_or("no process was found that knows something recent")?;
+        let step = fresh_peer.ok_or("found no process with recent updates")?;
         if step == Step::Elsewhere {
             self.store_due = None;
         }
         Ok(step)
     }
 
-    /// Whether nobody that is to has told anything recent for so long that the store is to be
-    /// asked.
+    /// Whether the sources had nothing recent for so long that the store should be asked.
     pub fn is_store_due(&self) -> bool {
         self.store_due.is_some_and(|due| Instant::now() >= due)
     }
 
-    /// How long to wait before anybody is asked again, `pause` at the longest.
+    /// The pause before the next round: `pause`, or less if the fallback to the store is due
+    /// earlier.
     pub fn pause(&self, pause: Duration) -> Duration {
         let left = self.store_due.map(|due| due - Instant::now());
         let left = left.filter(|left| !left.is_zero());
@@ -150,8 +151,8 @@
     }
 }
 
-/// Asks two processes that tell other zones and, `with_scouts`, a few of the whole fleet for
-/// what they know now; the link to the first that tells something recent.
+/// Asks two relays of other zones and, if `with_scouts` is set, a few random processes of the fleet
+/// for their current data. Returns the link to the first that has recent updates.
 async fn ask_many(engine: &Engine, with_scouts: bool) -> Option<(Arc<Link>, Step)> {
     let homes = engine.homes();
     let elsewhere = homes.followers_elsewhere(&engine.settings().zone);
@@ -174,8 +175,8 @@
     None
 }
 
-/// Asks the first of `sources` that is reached. Where its answer is late or not recent, a second
-/// one is asked for what it knows now.
+/// Polls the first reachable process of `sources`. If its answer is late or not recent, asks a
+/// second one for its current data.
 async fn ask_pair(engine: &Engine, sources: &[SocketAddr], step: Step) -> Result<(), NoUpdates> {
     let links = engine.homes().links();
     let first = links.first_usable(sources).await;
@@ -183,7 +184,7 @@
     let wait = update_wait(engine);
     let mut asked = pin!(ask(engine, &first, wait, step));
     let mut on_time = timeout(wait + HEDGE_MARGIN, &mut asked).await;
-    // A long answer that is on its way is not asked for twice.
+    // Don't hedge while a long answer is being received.
     while on_time.is_err() && first.is_receiving(ANSWER_MARGIN) {
         on_time = timeout(HEDGE_MARGIN, &mut asked).await;
     }
@@ -212,7 +213,7 @@
         },
         learned = &mut hedge => match learned {
             Ok(()) => {
-                // Whether it is only slow: if not, another link takes its place.
+                // Find out whether the peer is only slow; if not, the link is replaced.
                 first.ping();
                 Ok(())
             }
@@ -221,11 +222,12 @@
     }
 }
 
-/// Asks for news over `link`, waiting there for up to `wait`, and takes them.
+/// Polls for updates over `link`, where the peer holds the request for up to `wait`, and applies
+/// them.
 ///
 /// # Errors
 ///
-/// The reason why nothing recent was learned.
+/// Returns the reason why no recent updates were obtained.
 async fn ask(engine: &Engine, link: &Link, wait: Duration, step: Step) -> Result<(), NoUpdates> {
     let known = known_versions(engine);
     let asked = Instant::now();
--- a/crates/engine/src/peers/declared.rs
+++ b/crates/engine/src/peers/declared.rs
@@ -1,5 +1,5 @@
-//! What operators and servers have declared, learned from other processes while the store
-//! does not tell it: the configuration and the members.
+//! Exchange of declared state between peers while the store is unavailable: the configuration,
+//! the evacuated zones and the members.
 
 use super::{ANSWER_TIMEOUT, choose_peers};
 use crate::configuration::Configuration;
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// The versions that this process knows.
+/// The versions of the declared state that this process has.
 pub fn known_versions(engine: &Engine) -> DeclaredVersions {
     DeclaredVersions {
         configuration: engine.configuration().map_or(0, |known| known.version),
@@ -26,9 +26,10 @@
     }
 }
 
-/// What this process knows that is newer than `known`, for a question that came at `asked`.
+/// The declared state of this process that is newer than `known`, for a query that arrived at
+/// `asked`.
 pub fn newer(engine: &Engine, known: DeclaredVersions, asked: Instant) -> DeclaredState {
-    // Before the configuration is looked up: that one must be no older than this tells.
+    // Must be read before the configuration, which must not be older than this time claims.
     let complete_as_of = engine.following().configuration_complete_as_of();
     let configuration = engine.configuration();
     let configuration = configuration.filter(|newest| newest.version > known.configuration);
@@ -44,7 +45,7 @@
     }
 }
 
-/// Whole milliseconds from `from` to `to`, rounded down; below zero where `to` is earlier.
+/// Whole milliseconds from `from` to `to`, rounded down; negative if `to` is earlier.
 pub(crate) fn signed_millis(from: Instant, to: Instant) -> i64 {
     let millis = |duration: Duration| i64::try_from(duration.as_millis()).unwrap_or(i64::MAX);
     match to.checked_duration_since(from) {
@@ -53,7 +54,7 @@
     }
 }
 
-/// The moment `millis` after `from`.
+/// The time `millis` after `from`.
 pub(crate) fn moment_after(from: Instant, millis: i64) -> Option<Instant> {
     let distance = Duration::from_millis(millis.unsigned_abs());
     match millis >= 0 {
@@ -73,8 +74,8 @@
     }
 }
 
-/// What has changed in `directory` after the version `known`: the whole of it where that can
-/// no longer be told.
+/// The changes in `directory` since the version `known`, or the whole directory if its history
+/// doesn't reach back that far.
 fn declare_directory(directory: &Directory, known: u64, now: Instant) -> DeclaredDirectory {
     let (extent, members) = match directory.changed_after(known) {
         Some(changed) => (
@@ -122,8 +123,8 @@
     }
 }
 
-/// Asks a few processes for what is newer than what this one knows, and takes it. In a large
-/// fleet nobody is asked here: [`following`] asks those that follow the store.
+/// Queries a few peers for newer declared state and applies it. Does nothing in a large fleet,
+/// where [`following`] queries the processes that follow the store.
 pub async fn query(engine: &Engine) {
     if following::uses_relays(engine) {
         return;
@@ -142,8 +143,8 @@
     }
 }
 
-/// Takes what another process knew when it was asked at `asked`: ages only grow on the way,
-/// so a departure is taken to be older than it is, never younger.
+/// Applies the declared state of a peer that was queried at `asked`. Ages are counted back from
+/// `asked`, so transit time can make a departure look older than it is, but never younger.
 pub(crate) fn apply(engine: &Engine, state: DeclaredState, asked: Instant) {
     let is_taken = match state.configuration {
         Some(configuration) => apply_configuration(engine, configuration),
@@ -177,8 +178,8 @@
     engine.set_directory(next);
 }
 
-/// Takes a configuration that another process has told of; returns whether what is in use is
-/// that one or a later one. Changes of a version that is no longer in use can't be applied.
+/// Applies a configuration from a peer. Returns whether the configuration in use is now at least
+/// as new. A delta whose base version is no longer in use can't be applied.
 fn apply_configuration(engine: &Engine, declared: DeclaredConfiguration) -> bool {
     let configuration = match declared {
         DeclaredConfiguration::Whole(configuration) => Some(configuration),
@@ -208,7 +209,8 @@
         zone: declared.zone,
         role: declared.role,
         slots: declared.slots,
-        // What is left was told after the question was asked: dated by that it would end early.
+        // The remaining time was measured after the query was sent; counted from `asked`, slow
+        // start would end too early.
         cold_until: declared
             .cold_left_ms
             .map(|left_ms| Instant::now() + Duration::from_millis(left_ms)),
--- a/crates/engine/src/peers/mod.rs
+++ b/crates/engine/src/peers/mod.rs
@@ -1,8 +1,8 @@
-//! Learning from other processes what the store can't tell now.
+//! Queries to peers while the store is unavailable.
 //!
-//! A process that the store refuses, or that finds it down, asks a few others: for the
-//! records of leaderships, and for evidence that a leader's term goes on, which the
-//! commits that pass through them bring. Nobody is asked while the store answers.
+//! A process that can't reach the store, or whose calls the store refuses, queries a few peers for
+//! the leadership records and for evidence that a leader's term continues. Peers gain such
+//! evidence from the commits that pass through them. Peers aren't queried while the store answers.
 
 pub mod declared;
 mod tcp;
@@ -23,12 +23,12 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Processes asked at a time.
+/// Number of peers that one query is sent to.
 const PEERS_PER_QUERY: usize = 3;
-/// Longest wait for their answers.
+/// Timeout for their answers.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// What this process believes of `groups`.
+/// This process's current view of `groups`.
 pub fn group_snapshots(engine: &Engine, groups: &[GroupName]) -> Vec<GroupSnapshot> {
     groups.iter().map(|name| snapshot(engine, name)).collect()
 }
@@ -61,7 +61,7 @@
     }
 }
 
-/// Asks a few processes about `groups`, and takes what they believe.
+/// Queries a few peers about `groups` and applies their answers.
 pub async fn query(engine: &Engine, groups: &[GroupName]) {
     let asked = Instant::now();
     let until = asked + ANSWER_TIMEOUT;
@@ -87,7 +87,7 @@
     chosen.copied().collect()
 }
 
-/// Takes what another process believed when it was asked at `asked`.
+/// Applies a peer's snapshot of a group. `asked` is the time at which the query was sent.
 pub(crate) fn apply(engine: &Engine, snapshot: GroupSnapshot, asked: Instant) {
     if let Some(TermSnapshot { record, version }) = snapshot.term {
         let term = VersionedTerm { record, version };
--- a/crates/engine/src/peers/tcp.rs
+++ b/crates/engine/src/peers/tcp.rs
@@ -1,4 +1,5 @@
-//! Questions over TCP: one frame asks, one answers, and the connection ends.
+//! Peer queries over TCP: a connection carries one request frame and one response frame, or
+//! becomes a link.
 
 use super::{declared, group_snapshots};
 use crate::encoding;
@@ -20,29 +21,29 @@
 use tokio::time::{Instant, sleep, timeout};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Greatest length of a frame.
+/// Maximum length of a frame.
 const MAX_FRAME_BYTES: usize = 4 << 20;
-/// Groups that one question may name.
+/// Maximum number of groups in one query.
 const MAX_GROUPS: usize = 1_000;
-/// Longest wait for a question, and for the other side to take the answer.
+/// Timeout for receiving a query and sending its answer.
 const QUESTION_TIMEOUT: Duration = Duration::from_secs(2);
-/// Frames of a link that wait on one side.
+/// Capacity of each frame queue of a link.
 const LINK_QUEUE: usize = 2_048;
-/// Pause after a connection could not be accepted.
+/// Pause after a failure to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A question.
+/// The first frame of a connection.
 #[derive(Debug, Serialize, Deserialize)]
 enum Question {
-    /// What is believed of these groups.
+    /// Queries the peer's view of these groups.
     Beliefs(Vec<GroupName>),
-    /// What was declared after these versions.
+    /// Queries what was declared after these versions.
     Declared(DeclaredVersions),
-    /// The connection becomes a link.
+    /// Turns the connection into a link.
     Link,
 }
 
-/// An answer.
+/// The answer to a query.
 #[derive(Debug, Serialize, Deserialize)]
 enum Answer {
     Beliefs(Vec<GroupSnapshot>),
@@ -56,11 +57,11 @@
     Framed::new(stream, codec)
 }
 
-/// Asks over TCP.
+/// A [`PeerNetwork`] over TCP.
 #[derive(Debug, Default)]
 pub struct TcpPeers;
 
-/// Asks one question over a connection of its own.
+/// Sends one query over a new connection and reads the answer.
 async fn exchange(peer: SocketAddr, question: &Question) -> Result<Answer, PeerError> {
     let unreachable = |error: std::io::Error| PeerError::Unreachable(error.to_string());
     let stream = TcpStream::connect(peer).await.map_err(unreachable)?;
@@ -68,13 +69,13 @@
     let encoded = encoding::without_names(question);
     frames.send(encoded).await.map_err(unreachable)?;
     let frame = frames.next().await;
-    let frame = frame.ok_or_else(|| PeerError::Unreachable("broke off".to_owned()))?;
+    let frame = frame.ok_or_else(|| PeerError::Unreachable("connection closed".to_owned()))?;
     let frame = frame.map_err(unreachable)?;
     rmp_serde::from_slice(&frame).map_err(|error| PeerError::Protocol(error.to_string()))
 }
 
 fn mismatched_answer() -> PeerError {
-    PeerError::Protocol("the answer is to another question".to_owned())
+    PeerError::Protocol("the answer doesn't match the query".to_owned())
 }
 
 #[async_trait]
@@ -112,7 +113,8 @@
     }
 }
 
-/// Passes frames between the connection and the link that is returned, until one ends.
+/// Spawns a task that copies frames between the connection and the returned link until either
+/// one closes.
 fn spawn_link(frames: Framed<TcpStream, LengthDelimitedCodec>) -> PeerLink {
     let (tx, mut outgoing) = mpsc::channel::<Bytes>(LINK_QUEUE);
     let (incoming, rx) = mpsc::channel::<Bytes>(LINK_QUEUE);
@@ -142,7 +144,7 @@
     PeerLink { tx, rx }
 }
 
-/// Answers questions until the process ends.
+/// Accepts connections and answers their queries until the process ends.
 pub async fn serve(engine: Arc<Engine>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -151,7 +153,7 @@
         };
         let engine = Arc::clone(&engine);
         tokio::spawn(async move {
-            // Who breaks off gets no answer.
+            // A timeout or a closed connection needs no answer.
             let Ok(Some(ConnectionUse::Link(link))) =
                 timeout(QUESTION_TIMEOUT, answer(&engine, stream)).await
             else {
@@ -162,15 +164,16 @@
     }
 }
 
-/// What came of a connection.
+/// What a connection was used for.
 enum ConnectionUse {
-    /// Its question was answered.
+    /// A query, which was answered.
     Answered,
-    /// It is a link from here on.
+    /// A link.
     Link(PeerLink),
 }
 
-/// Answers one question; what makes no sense ends the connection.
+/// Answers the query on a connection. Returns `None`, which closes the connection, if the query
+/// is malformed.
 async fn answer(engine: &Engine, stream: TcpStream) -> Option<ConnectionUse> {
     stream.set_nodelay(true).ok()?;
     let mut frames = framed(stream);
@@ -188,8 +191,8 @@
     Some(ConnectionUse::Answered)
 }
 
-/// Beliefs about those of `groups` that the directory names: none is made for a question's
-/// sake.
+/// Snapshots of those `groups` that are in the directory. Other names are ignored, so that a
+/// query can't create groups.
 fn known_group_snapshots(engine: &Engine, groups: Vec<GroupName>) -> Option<Vec<GroupSnapshot>> {
     if groups.len() > MAX_GROUPS {
         return None;
