--- a/crates/engine/src/ports/back_end.rs
+++ b/crates/engine/src/ports/back_end.rs
@@ -1,4 +1,4 @@
-//! Connections to members.
+//! The interface to back ends: connections to the members of groups.
 
 use crate::directory::{Member, Role};
 use crate::names::{DatabaseName, RequestId, TenantName};
@@ -11,17 +11,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a connection is asked to run.
+/// A command for a connection to run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
     /// Opens a transaction.
     Begin {
-        /// It is not going to write.
+        /// Whether the transaction is read-only.
         read_only: bool,
-        /// What the member's log must hold, else it refuses.
+        /// The log position that the member must have reached; otherwise it refuses.
         after: Option<LogPosition>,
     },
-    /// Commits, for a caller.
+    /// Commits on behalf of a caller.
     Commit {
         /// The caller's request.
         id: RequestId,
@@ -32,11 +32,11 @@
     Run {
         /// The caller's request.
         id: RequestId,
-        /// The whole text.
+        /// The complete text.
         text: Bytes,
         /// Whether it can change data.
         access: Access,
-        /// What the member's log must hold, else it refuses.
+        /// The log position that the member must have reached; otherwise it refuses.
         after: Option<LogPosition>,
     },
     /// Runs a prepared statement.
@@ -45,12 +45,12 @@
         id: RequestId,
         /// The statement's name on the connection.
         name: Bytes,
-        /// The caller's arguments unchanged.
+        /// The caller's arguments, unchanged.
         arguments: Bytes,
-        /// What the member's log must hold, else it refuses.
+        /// The log position that the member must have reached; otherwise it refuses.
         after: Option<LogPosition>,
     },
-    /// Sets a session value.
+    /// Sets a session variable.
     Set {
         /// Its name.
         name: Bytes,
@@ -64,12 +64,12 @@
         /// The statement.
         prepared: PreparedStatement,
     },
-    /// Drops all session values and prepared statements.
+    /// Drops all session variables and prepared statements.
     Reset,
 }
 
 impl Command {
-    /// Whether it is a caller's statement, which a member puts in its queue.
+    /// Whether it is a caller's statement, which the member queues.
     pub fn is_statement(&self) -> bool {
         matches!(
             self,
@@ -78,41 +78,41 @@
     }
 }
 
-/// Orders about replication.
+/// Replication control orders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Control {
-    /// Report only.
+    /// Only report the status.
     Status,
-    /// Stop receiving, in the name of a term above the newest.
+    /// Stop receiving the log on behalf of this term, which is above the newest one.
     Pause(Term),
-    /// Receive again.
+    /// Resume receiving the log.
     Resume,
-    /// Give up the lead of any lower term.
+    /// Step down as leader of any term below this one.
     Demote(Term),
 }
 
 /// A member's answer to a command.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Answer {
-    /// Rows, byte for byte.
+    /// The rows, unchanged.
     pub rows: Vec<Bytes>,
-    /// The signature, or why the member did not complete it.
+    /// The signature, or why the member did not complete the command.
     pub outcome: Result<Bytes, Refusal>,
-    /// The connection's state from here on.
+    /// The transaction state of the connection after the command.
     pub state: TransactionState,
-    /// How far the member's log had come, if it told.
+    /// The member's log position, if reported.
     pub position: Option<LogPosition>,
 }
 
 /// Why a member did not complete a command.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Refusal {
-    /// What kind of refusal it is.
+    /// The kind of refusal.
     pub kind: RefusalKind,
-    /// The member's code.
+    /// The member's error code.
     pub code: Bytes,
-    /// The member's text.
+    /// The member's error text.
     pub text: Bytes,
 }
 
@@ -120,61 +120,63 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalKind {
-    /// Its queue is full. Not run.
+    /// The member's queue is full. Not run.
     Busy,
-    /// The prepared name is not known on this connection. Not run.
+    /// The prepared statement is unknown on this connection. Not run.
     UnknownPrepared,
-    /// Its log lacks the position asked for. Not run.
+    /// The member's log has not reached the requested position. Not run.
     Lagging,
-    /// It does not lead. Not run.
+    /// The member is not the leader. Not run.
     NotLeader,
-    /// So many requests wait before it that another would be late; when to come back. Not
-    /// run.
+    /// The queue is so long that the request would miss its deadline; carries the time to wait
+    /// before a retry. Not run.
     Shed(Duration),
-    /// The member is cold and takes no more now; the time until it does. Not run.
+    /// The member is in slow start and its budget is used up; carries the time until more is
+    /// available. Not run.
     SlowStart(Duration),
-    /// Whoever was to pass it on could not reach the member. Not run.
+    /// The forwarding process could not reach the member. Not run.
     Unreachable,
-    /// Anything else. May have run.
+    /// Any other failure. May have run.
     Failed,
-    /// Whoever was to pass it on knows of home regions that rule the member out. Not run.
+    /// The forwarding process knows home regions that exclude the member. Not run.
     OutsideRegions,
 }
 
-/// What a member tells of itself.
+/// A member's status report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 pub struct MemberReport {
     /// Its role.
     pub role: Role,
     /// Its term.
     pub term: Term,
-    /// How far it has received the log.
+    /// The last log position that it has received.
     pub received: LogPosition,
-    /// The term in whose name it is paused; zero while it receives.
+    /// The term on whose behalf it is paused; zero while it receives.
     pub paused_for: Term,
 }
 
 quick_error! {
-    /// A connection could not be opened. Nothing has run.
+    /// Why a connection could not be opened. Nothing has run.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ConnectError {
-        /// Nobody listens there.
+        /// The connection was refused.
         Refused(reason: String) {
             display("refused: {reason}")
         }
-        /// Nothing was heard in time.
+        /// The attempt timed out.
         TimedOut {
             display("timed out")
         }
-        /// Another member listens there, or one of another group.
+        /// A different member listens at the address, possibly of another group.
         WrongMember {
             display("another member listens there")
         }
-        /// It runs, and its queue is full: even a new connection takes a place there.
+        /// The member is running, but its queue is full. Opening a connection takes a queue slot
+        /// too.
         Busy {
             display("its queue is full")
         }
-        /// The member has all the connections that it accepts.
+        /// The member has reached its connection limit.
         TooManyConnections {
             display("too many connections")
         }
@@ -182,14 +184,14 @@
 }
 
 quick_error! {
-    /// A connection ended, or said what makes no sense, before the answer was complete.
+    /// Why a connection failed before the answer was complete.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum BackEndConnectionError {
-        /// It ended.
+        /// The connection was closed.
         Closed(reason: String) {
             display("closed: {reason}")
         }
-        /// The answer breaks the protocol.
+        /// The answer violates the protocol.
         Protocol(reason: String) {
             display("protocol violation: {reason}")
         }
@@ -203,9 +205,9 @@
 /// Opens connections to members.
 #[async_trait]
 pub trait BackEnd: Debug + Send + Sync + 'static {
-    /// Connects to `member`, and to no other that may listen at its address by now. All that
-    /// is asked over the connection is asked on behalf of `tenant`; without one, on behalf of
-    /// this system itself or of callers of whom no tenant is known.
+    /// Connects to `member`; fails if a different member listens at its address by now. All
+    /// commands on the connection run on behalf of `tenant`. Without a tenant they run on behalf of
+    /// the proxy itself or of callers without a known tenant.
     async fn connect(
         &self,
         member: &Member,
@@ -213,16 +215,16 @@
     ) -> Result<Box<dyn BackEndConnection>, ConnectError>;
 }
 
-/// For whom a connection is used next, for those who put the fleet's requests in order.
+/// Parameters of the next use of a connection, for scheduling among the requests of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Admission {
     /// The session's database.
     pub database: DatabaseName,
-    /// The route's rank; 0 is the highest.
+    /// The route's priority; 0 is the highest.
     pub rank: u32,
-    /// How long a request may wait in a queue that stands.
+    /// How long a request may wait in a standing queue, one that doesn't drain.
     pub patience: Duration,
-    /// Until when a request may wait at all.
+    /// Until when a request may wait at most.
     pub until: Instant,
 }
 
@@ -237,24 +239,25 @@
     }
 }
 
-/// One connection. A call that is dropped before it ends leaves the connection unusable;
-/// whoever drops it must drop the connection too.
+/// A connection to a member. Dropping a call before it completes leaves the connection unusable;
+/// the caller must then drop the connection too.
 #[async_trait]
 pub trait BackEndConnection: Debug + Send + Sync + 'static {
-    /// Runs one command and reads its answer to the end.
+    /// Runs one command and reads its complete answer.
     async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError>;
     /// Carries out an order about replication.
     async fn control(&mut self, control: Control) -> Result<MemberReport, BackEndConnectionError>;
-    /// Whether the far end has neither closed it nor said anything unasked.
+    /// Whether the connection is usable: the member has neither closed it nor sent unsolicited
+    /// data.
     fn is_open(&mut self) -> bool;
-    /// Takes for whom it is used next. A connection of this process's own needs not know.
+    /// Sets the parameters of the next use. Direct connections ignore them.
     fn admit(&mut self, _admission: Admission) {}
-    /// Waits until the next statement may be sent, where the member is cold. Where it is not
-    /// sent soon after, or this is not called, sending it may wait.
+    /// Waits until the next statement may be sent to a member in slow start. If the statement isn't
+    /// sent soon afterwards, or this wasn't called, sending it may wait instead.
     ///
     /// # Errors
     ///
-    /// The time until one may be sent, where that is after `until`.
+    /// Returns the time until a statement may be sent if that is after `until`.
     async fn pace(&mut self, _until: Instant) -> Result<(), Duration> {
         Ok(())
     }
--- a/crates/engine/src/ports/mod.rs
+++ b/crates/engine/src/ports/mod.rs
@@ -1,4 +1,4 @@
-//! What the engine needs of the outside.
+//! Interfaces to everything outside the engine.
 
 mod back_end;
 mod peers;
--- a/crates/engine/src/ports/peers.rs
+++ b/crates/engine/src/ports/peers.rs
@@ -1,4 +1,4 @@
-//! Questions to other processes of the fleet.
+//! The interface to other processes of the fleet.
 
 use crate::configuration::{Configuration, ConfigurationChanges};
 use crate::directory::Role;
@@ -15,44 +15,45 @@
 use std::net::SocketAddr;
 use tokio::sync::mpsc;
 
-/// What a process believes of one group. Ages are counted when the answer is made: whoever
-/// asked takes them from before the question was sent, so they only grow on the way.
+/// A process's view of one group. Ages are measured when the answer is created. The receiver
+/// counts them back from the time at which it sent the query, so transit time can only make
+/// them larger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupSnapshot {
     /// The group.
     pub group: GroupName,
     /// The epoch of its leadership.
     pub epoch: Epoch,
-    /// Its leader. `None` while one is fenced off: what is believed of that one says
-    /// nothing of the next, although both belong to one epoch.
+    /// Its leader; `None` while the previous leader is being fenced. Both leaders belong to the
+    /// same epoch, so what is known about the fenced one must not be attributed to its successor.
     pub leader: Option<LeaderSnapshot>,
-    /// Positions known to cover moments, and the ages of these; oldest first.
+    /// Known covering positions with their ages, oldest first.
     pub covering: Vec<CoveringSnapshot>,
-    /// The record of the leadership, if there was ever a promotion.
+    /// The leadership record; `None` if there was never a promotion.
     pub term: Option<TermSnapshot>,
 }
 
-/// What a process believes of the leader of an epoch.
+/// A process's view of the leader of an epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderSnapshot {
     /// The leader, or the member that is being promoted.
     pub member: MemberId,
-    /// Whether it is known to have taken the lead.
+    /// Whether it is known to have become leader.
     pub confirmed: bool,
     /// Age of the newest evidence for its term, ms.
     pub evidence_age_ms: Option<u64>,
 }
 
-/// A position that covers a moment.
+/// A log position that covers all commits up to some time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoveringSnapshot {
     /// The position.
     pub position: LogPosition,
-    /// Age of the moment, ms.
+    /// Age of that time, ms.
     pub age_ms: u64,
 }
 
-/// A record as the store had it.
+/// A leadership record as read from the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermSnapshot {
     /// The record.
@@ -61,20 +62,19 @@
     pub version: u64,
 }
 
-/// Versions of what operators and servers have declared, as one process knows them; zero
-/// where it knows nothing.
+/// Versions of the declared state that a process has; zero for state that it doesn't have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeclaredVersions {
-    /// Of the configuration.
+    /// Version of the configuration.
     pub configuration: u64,
-    /// Of the directory of members.
+    /// Version of the member directory.
     pub directory: u64,
-    /// Of the evacuated zones.
+    /// Version of the evacuated zones.
     #[serde(default)]
     pub evacuations: u64,
 }
 
-/// What a process knows that is newer than it was asked for.
+/// Declared state that is newer than the versions in the query; `None` for parts that aren't.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DeclaredState {
     /// The configuration.
@@ -84,121 +84,122 @@
     /// The evacuated zones.
     #[serde(default)]
     pub evacuations: Option<Evacuations>,
-    /// The moment as of which the configuration and the evacuations that are known, told
-    /// here or not, were the newest: in ms after the question came, below zero where it was before. `None` where
-    /// that is not known. Whoever asked counts it from before the question was sent.
+    /// The time as of which the sender's configuration and evacuations, included here or not, were
+    /// the newest: in ms after the query arrived, negative if before; `None` if unknown. The
+    /// receiver counts it from the time at which it sent the query.
     pub complete_after_ms: Option<i64>,
 }
 
-/// A configuration that is newer than the one that was asked for.
+/// A configuration that is newer than the version in the query.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum DeclaredConfiguration {
-    /// All of it.
+    /// The full configuration.
     Whole(Configuration),
-    /// What has changed since the version that was asked for.
+    /// The changes since the version in the query.
     Changes(ConfigurationChanges),
 }
 
-/// Members as of one version of their entries.
+/// Members of one version of the directory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeclaredDirectory {
     /// The version.
     pub version: u64,
-    /// Which members these are.
+    /// Which members are included.
     pub extent: DeclaredExtent,
-    /// The members, gone ones included.
+    /// The members, including those that are gone.
     pub members: Vec<DeclaredMember>,
 }
 
-/// What a [`DeclaredDirectory`] holds.
+/// Which members a [`DeclaredDirectory`] includes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DeclaredExtent {
     /// All members.
     Whole,
-    /// Those that have changed after the version that was asked for.
+    /// Members that changed after the version in the query.
     Changes,
 }
 
-/// A member, on its way to another process.
+/// A directory member in its exchange format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeclaredMember {
-    /// Its identity.
+    /// Its id.
     pub id: MemberId,
     /// Its group.
     pub group: GroupName,
-    /// Where it listens.
+    /// Its listen address.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
-    /// The role that it told last.
+    /// Its last reported role.
     pub role: Role,
-    /// Statements that it runs at a time.
+    /// Number of statements that it runs concurrently.
     pub slots: usize,
-    /// For how long it is still slow from its start, ms.
+    /// Remaining slow-start time, ms.
     #[serde(default)]
     pub cold_left_ms: Option<u64>,
-    /// Set where it leaves or has left.
+    /// Set if it is leaving or has left.
     pub departure: Option<DeclaredDeparture>,
-    /// The store's version of its last change.
+    /// The store version of its last change.
     pub changed: u64,
 }
 
-/// A member's departure, in ages at the time of the answer.
+/// A member's departure. Ages are relative to the time of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeclaredDeparture {
-    /// Its entry has gone.
+    /// Whether its entry is gone.
     pub gone: bool,
-    /// For how long its entry is still expected back, ms, where it has lapsed.
+    /// If its entry has lapsed: how much longer it is expected to come back, ms.
     pub lapsed_left_ms: Option<u64>,
-    /// Since it was learned of, ms.
+    /// Time since the sender learned of the departure, ms.
     pub learned_age_ms: u64,
-    /// Since it may have been known to others, ms; `None` where that is not known.
+    /// Time since the earliest moment at which other processes may have known of it, ms; `None` if
+    /// unknown.
     pub earliest_age_ms: Option<u64>,
 }
 
 quick_error! {
-    /// A process did not answer.
+    /// Why a query to a peer failed.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum PeerError {
-        /// It was not reached, or broke off.
+        /// The peer could not be reached or closed the connection.
         Unreachable(reason: String) {
             display("unreachable: {reason}")
         }
-        /// It answered what makes no sense.
+        /// The answer was malformed or didn't match the query.
         Protocol(reason: String) {
             display("protocol violation: {reason}")
         }
     }
 }
 
-/// A link between two processes: frames both ways, in order. It ends where one side drops
-/// it or can't be reached any more.
+/// A bidirectional, ordered stream of frames between two processes. It closes when either side
+/// drops it or becomes unreachable.
 #[derive(Debug)]
 pub struct PeerLink {
-    /// Frames to the other side.
+    /// Outgoing frames.
     pub tx: mpsc::Sender<Bytes>,
-    /// Frames from there.
+    /// Incoming frames.
     pub rx: mpsc::Receiver<Bytes>,
 }
 
-/// Asks other processes.
+/// Queries other processes and opens links to them.
 #[async_trait]
 pub trait PeerNetwork: Debug + Send + Sync + 'static {
-    /// What the process at `peer` believes of `groups`.
+    /// Queries the view of `groups` of the process at `peer`.
     async fn query_groups(
         &self,
         peer: SocketAddr,
         groups: &[GroupName],
     ) -> Result<Vec<GroupSnapshot>, PeerError>;
 
-    /// What the process at `peer` knows of configuration and members that is newer than
-    /// `known`.
+    /// Queries the declared state of the process at `peer` that is newer than `known`.
     async fn query_declared(
         &self,
         peer: SocketAddr,
         known: DeclaredVersions,
     ) -> Result<DeclaredState, PeerError>;
 
-    /// Opens a link to the process at `peer`, which [serves](crate::serving::serve) it.
+    /// Opens a link to the process at `peer`, which handles it with
+    /// [`serving::serve`](crate::serving::serve).
     async fn open_link(&self, peer: SocketAddr) -> Result<PeerLink, PeerError>;
 }
--- a/crates/engine/src/ports/promoter.rs
+++ b/crates/engine/src/ports/promoter.rs
@@ -1,4 +1,4 @@
-//! Promotions are carried out by a service outside.
+//! The interface to the external service that carries out promotions.
 
 use crate::names::{GroupName, MemberId, NodeName};
 use async_trait::async_trait;
@@ -11,40 +11,40 @@
 pub struct PromotionOrder {
     /// The group.
     pub group: GroupName,
-    /// The member that is to lead.
+    /// The member to promote.
     pub target: MemberId,
-    /// Who gives the order.
+    /// The lease holder that gives the order.
     pub holder: NodeName,
-    /// The number of the lease under which it is given.
+    /// The fencing number of its lease.
     pub fencing: FencingNumber,
 }
 
 quick_error! {
-    /// An order has not been accepted, as far as is known.
+    /// Why a promotion order failed, or may have failed.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum PromoteError {
-        /// The target does not run.
+        /// The target is not running.
         TargetDown {
-            display("the target does not run")
+            display("the target is not running")
         }
-        /// A later holder has given orders.
+        /// A later lease holder has given orders.
         Fenced {
-            display("fenced off by a later holder")
+            display("fenced off by a later lease holder")
         }
-        /// Refused for now. Nothing was done.
+        /// Temporarily refused; the order had no effect.
         Unavailable(reason: String) {
             display("unavailable: {reason}")
         }
-        /// There was no answer: it may have been done.
+        /// No answer; the order may have taken effect.
         Unknown(reason: String) {
             display("no answer: {reason}")
         }
     }
 }
 
-/// Gives promotion orders.
+/// Sends promotion orders.
 #[async_trait]
 pub trait Promoter: Debug + Send + Sync + 'static {
-    /// Orders a promotion. It takes effect some time after the answer.
+    /// Orders a promotion. It takes effect asynchronously, some time after the answer.
     async fn promote(&self, order: &PromotionOrder) -> Result<(), PromoteError>;
 }
--- a/crates/engine/src/ports/record_store.rs
+++ b/crates/engine/src/ports/record_store.rs
@@ -7,27 +7,27 @@
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// Records that one call writes, at the most. A store that takes 100 entries in one call counts
-/// each condition like a write.
+/// Maximum number of records that one call writes. A store that accepts 100 entries per call
+/// counts each condition as an entry besides the write.
 pub const MAX_PUTS_PER_CALL: usize = 48;
 
-/// A record as the store has it.
+/// A record as stored.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Record {
     /// Its key.
     pub key: String,
     /// Its content.
     pub value: Bytes,
-    /// Rises with each change of the record; never zero.
+    /// Its version, which increases with each change of the record and is never zero.
     pub version: StoreVersion,
 }
 
-/// Changes since a version.
+/// Changes after a version.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RecordChanges {
-    /// Records that were written.
+    /// The records that were written.
     pub written: Vec<Record>,
-    /// The store's version as of which this holds; the next watch goes on from it.
+    /// The store version up to which the changes are complete; the next watch starts from it.
     pub version: StoreVersion,
 }
 
@@ -36,70 +36,70 @@
 pub struct RecordPut {
     /// Its key.
     pub key: String,
-    /// The version that the record must have; zero: it is not there. One of an earlier era is no
-    /// record's version any more.
+    /// The version that the record must have; zero if it must not exist. A version of an earlier
+    /// era never matches.
     pub expected: StoreVersion,
     /// Its content.
     pub value: Bytes,
 }
 
-/// What became of conditional writes.
+/// The outcome of conditional writes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// They took effect, and gave the records this version.
+    /// All writes took effect; the records now have this version.
     Stored(StoreVersion),
-    /// None did: a record has another version.
+    /// No write took effect because a record has another version than expected.
     Conflict,
 }
 
 quick_error! {
-    /// The store gave no regular answer.
+    /// Why a call to the store failed.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum RecordStoreError {
-        /// Not reached, or refused: nothing was done.
+        /// The store was unreachable or refused the call; the call had no effect.
         Unavailable(reason: String) {
             display("unavailable: {reason}")
         }
-        /// No answer: a write may have been done, or may be done later if its condition
-        /// still holds.
+        /// No answer. A write may have taken effect, or may still do so later if its condition
+        /// holds.
         Unknown(reason: String) {
             display("no answer: {reason}")
         }
-        /// Changes that far back are forgotten: read everything.
+        /// The store no longer has changes that old; everything has to be read again.
         HistoryGone {
-            display("the history asked for is forgotten")
+            display("the requested history is no longer available")
         }
     }
 }
 
-/// A store of records, shared by the fleet. Reads and writes are linearizable.
+/// A record store that is shared by the fleet. Reads and writes are linearizable.
 #[async_trait]
 pub trait RecordStore: Debug + Send + Sync + 'static {
-    /// All records whose keys begin with `prefix`, and the version as of which they were
-    /// read.
+    /// Reads all records whose keys start with `prefix`, and the store version of the read.
     async fn read(&self, prefix: &str) -> Result<RecordChanges, RecordStoreError>;
 
-    /// The records whose keys stand from `first` to `last`, both included, and the version as
-    /// of which they were read.
+    /// Reads the records with keys from `first` to `last` inclusive, and the store version of the
+    /// read.
     async fn read_between(
         &self,
         first: &str,
         last: &str,
     ) -> Result<RecordChanges, RecordStoreError>;
 
-    /// Waits up to `wait` for changes after `version`. Where that is of an earlier
-    /// [era](crate::version) of the store, the history is forgotten.
+    /// Waits up to `wait` for changes after `version`. Fails with
+    /// [`RecordStoreError::HistoryGone`] if `version` is of an earlier [era](crate::version) of the
+    /// store.
     async fn watch(
         &self,
         version: StoreVersion,
         wait: Duration,
     ) -> Result<RecordChanges, RecordStoreError>;
 
-    /// Writes all records of `puts`, up to [`MAX_PUTS_PER_CALL`], or none where a condition does not
-    /// hold.
+    /// Atomically writes all records of `puts`, at most [`MAX_PUTS_PER_CALL`], or none if a
+    /// condition doesn't hold.
     async fn put_all(&self, puts: &[RecordPut]) -> Result<PutOutcome, RecordStoreError>;
 
-    /// Writes `value` if the record has `expected` as its version (zero: is not there).
+    /// Writes `value` if the version of the record is `expected` (zero if it must not exist).
     async fn put_if(
         &self,
         key: &str,
