--- a/crates/engine/src/configuration.rs
+++ b/crates/engine/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration that an operator has declared, as a whole.
+//! The configuration that operators declare.
 
 use crate::names::{DatabaseName, GroupName, TenantName};
 use crate::residency::Residency;
@@ -9,19 +9,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How fresh a session's reads are.
+/// The consistency of a session's reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Consistency {
-    /// Reads see every commit that was acknowledged before them, of any session.
+    /// Reads see every commit of any session that was acknowledged before them.
     Leader,
-    /// Reads see every commit acknowledged longer ago than the route's staleness.
+    /// Reads see every commit that was acknowledged longer ago than the route's maximum staleness.
     BoundedStaleness,
-    /// As bounded staleness, and every commit of the same session.
+    /// Like bounded staleness; in addition, reads see every earlier commit of the same session.
     ReadYourWrites,
 }
 
 impl Consistency {
-    /// Its name in metrics.
+    /// The name used in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Consistency::Leader => "leader",
@@ -31,54 +31,54 @@
     }
 }
 
-/// How the sessions of one database are treated.
+/// The settings of the sessions of one database.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     /// The group that runs the statements.
     pub group: GroupName,
-    /// How fresh reads are.
+    /// The consistency of reads.
     pub consistency: Consistency,
-    /// Age that reads may have; zero for [`Consistency::Leader`].
+    /// Maximum staleness of reads; zero for [`Consistency::Leader`].
     pub max_staleness: Duration,
-    /// Longest time for one statement.
+    /// Timeout of one statement.
     pub timeout: Duration,
-    /// Latency that callers hope for.
+    /// Latency objective of one statement.
     pub objective: Duration,
-    /// Rank; 0 is highest.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Whether callers need no credential.
+    /// Whether callers may connect without a credential.
     #[serde(default)]
     pub is_public: bool,
-    /// Where its statements may run.
+    /// The regions in which its statements may run.
     #[serde(default)]
     pub residency: Residency,
 }
 
-/// How much a member takes that has just come up.
+/// Load limits for a member that has just started.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct SlowStart {
-    /// How long it counts as cold from its start.
+    /// How long slow start lasts after the member's start.
     pub duration: Duration,
-    /// Statements a second that it takes meanwhile from all processes together.
+    /// Statements per second that it accepts meanwhile from all processes together.
     pub per_second: f64,
 }
 
-/// What holds for one group.
+/// The settings of one group.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GroupSettings {
-    /// Connections that one member accepts from all callers together.
+    /// Total number of connections that one member accepts.
     pub member_connections: usize,
-    /// Replicas that must have received a commit before it is acknowledged.
+    /// Number of replicas that must have received a commit before it is acknowledged.
     pub sync_replicas: usize,
-    /// What cold members take; `None` where they take as much as any.
+    /// Limits for members that have just started; `None` for no slow start.
     #[serde(default)]
     pub slow_start: Option<SlowStart>,
 }
 
-/// A configuration as of one version.
+/// One version of the configuration.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Rises with each change.
+    /// Its version, which increases with each change.
     pub version: u64,
     /// Routes by database.
     pub routes: HashMap<DatabaseName, Arc<Route>>,
@@ -86,41 +86,41 @@
     pub groups: HashMap<GroupName, GroupSettings>,
     /// Tenants.
     pub tenants: HashMap<TenantName, Arc<Tenant>>,
-    /// Whose each credential is.
+    /// The tenant of each credential.
     pub credentials: HashMap<Credential, TenantName>,
-    /// Longest rest inside a transaction.
+    /// Idle timeout inside a transaction.
     pub transaction_idle: Option<Duration>,
 }
 
-/// What sets one version of the configuration apart from an earlier one.
+/// The difference between two versions of the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationChanges {
-    /// The version that the changes are to be applied to.
+    /// The version to which the changes apply.
     pub from: u64,
-    /// The version that comes of it.
+    /// The resulting version.
     pub version: u64,
-    /// Routes that are new or different.
+    /// Added or changed routes.
     pub routes: HashMap<DatabaseName, Arc<Route>>,
-    /// Routes that are no longer there.
+    /// Removed routes.
     pub removed_routes: Vec<DatabaseName>,
-    /// Groups that are new or different.
+    /// Added or changed groups.
     pub groups: HashMap<GroupName, GroupSettings>,
-    /// Groups that are no longer there.
+    /// Removed groups.
     pub removed_groups: Vec<GroupName>,
-    /// Tenants that are new or different.
+    /// Added or changed tenants.
     pub tenants: HashMap<TenantName, Arc<Tenant>>,
-    /// Tenants that are no longer there.
+    /// Removed tenants.
     pub removed_tenants: Vec<TenantName>,
-    /// Credentials that are new, or of another tenant.
+    /// Added credentials, and credentials that now belong to another tenant.
     pub credentials: HashMap<Credential, TenantName>,
-    /// Credentials that are no longer good.
+    /// Revoked credentials.
     pub removed_credentials: Vec<Credential>,
-    /// Longest rest inside a transaction.
+    /// Idle timeout inside a transaction.
     pub transaction_idle: Option<Duration>,
 }
 
 impl Configuration {
-    /// What has changed since `earlier`.
+    /// Computes the changes since `earlier`.
     ///
     /// ```
     /// use stilequay_engine::configuration::Configuration;
@@ -145,7 +145,8 @@
         }
     }
 
-    /// This configuration with `changes`; `None` where they are of another version.
+    /// Applies `changes` to this configuration; returns `None` if they are based on another
+    /// version.
     pub fn apply(&self, changes: ConfigurationChanges) -> Option<Self> {
         if changes.from != self.version {
             return None;
@@ -164,8 +165,8 @@
         Some(next)
     }
 
-    /// The regions in which statements for `database` on behalf of `tenant` may run. What is
-    /// not in this configuration binds nothing.
+    /// The regions in which statements for `database` on behalf of `tenant` may run. A database or
+    /// tenant that isn't in this configuration adds no restriction.
     pub fn residency(&self, database: &str, tenant: Option<&TenantName>) -> Residency {
         let route = self.routes.get(database).map(|route| &route.residency);
         let tenant = tenant.and_then(|name| self.tenants.get(name));
@@ -174,13 +175,13 @@
         route.unwrap_or(anywhere).and(tenant.unwrap_or(anywhere))
     }
 
-    /// The tenant whose credential this is.
+    /// The tenant that `credential` belongs to.
     pub fn tenant_of(&self, credential: &Credential) -> Option<&Arc<Tenant>> {
         self.tenants.get(self.credentials.get(credential)?)
     }
 }
 
-/// Takes what is new or different into `entries`, and drops what was removed.
+/// Applies added, changed and removed entries to `entries`.
 fn apply_changes<K: Eq + Hash, V>(
     entries: &mut HashMap<K, V>,
     changed: HashMap<K, V>,
@@ -192,7 +193,7 @@
     entries.extend(changed);
 }
 
-/// The entries of `later` that `earlier` has not, or has otherwise.
+/// The entries of `later` that are missing or different in `earlier`.
 fn changed_entries<K: Clone + Eq + Hash, V: Clone + PartialEq>(
     later: &HashMap<K, V>,
     earlier: &HashMap<K, V>,
@@ -204,7 +205,7 @@
         .collect()
 }
 
-/// The keys in `earlier` that `later` has not.
+/// The keys of `earlier` that are missing in `later`.
 fn removed_keys<K: Clone + Eq + Hash, V>(later: &HashMap<K, V>, earlier: &HashMap<K, V>) -> Vec<K> {
     let keys = earlier.keys();
     keys.filter(|key| !later.contains_key(*key))
--- a/crates/engine/src/encoding.rs
+++ b/crates/engine/src/encoding.rs
@@ -1,18 +1,18 @@
-//! Encoding what this program has put together itself: records, frames and questions.
+//! Encoding of values that this program creates itself: records, frames and queries.
 //!
-//! These hold texts, numbers and bytes, whose encoding does not fail. Should it fail all the same,
-//! a line tells what was lost; whoever reads the empty bytes takes them for what makes no sense.
+//! They consist of strings, numbers and bytes, which always encode. If encoding fails nevertheless,
+//! the failure is logged and the result is empty, which readers reject as malformed.
 
 use bytes::Bytes;
 use serde::Serialize;
 use std::any::type_name;
 
-/// `value` with the names of its fields: what is kept is read by other versions, too.
+/// Encodes `value` with field names, for stored data, which other versions read too.
 pub(crate) fn with_names<T: Serialize>(value: &T) -> Bytes {
     or_empty::<T>(rmp_serde::to_vec_named(value))
 }
 
-/// `value` without the names of its fields: what is sent is read by the same version.
+/// Encodes `value` without field names, for messages, whose readers run the same version.
 pub(crate) fn without_names<T: Serialize>(value: &T) -> Bytes {
     or_empty::<T>(rmp_serde::to_vec(value))
 }
@@ -20,7 +20,7 @@
 fn or_empty<T>(encoded: Result<Vec<u8>, rmp_serde::encode::Error>) -> Bytes {
     encoded.map_or_else(
         |error| {
-            log::error!("{} was not encoded: {error}", type_name::<T>());
+            log::error!("failed to encode {}: {error}", type_name::<T>());
             Bytes::new()
         },
         Bytes::from,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The state that all sessions share.
+//! The state shared by all sessions of a process.
 
 use crate::configuration::{Configuration, Route};
 use crate::directory::{Directory, Member};
@@ -33,27 +33,27 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Share of the contact time for which a call waits for changes: entries, configuration,
-/// records.
+/// Timeout of a store call that watches for changes of entries, configuration or records, as a
+/// share of the propagation bound.
 const FEED_PROPAGATION_SHARE: f64 = 0.4;
-/// The same where others learn of the changes from this process: they wait too.
+/// The same in a fleet that uses relays, where the clients' long polls add to the delay.
 const RELAYED_FEED_PROPAGATION_SHARE: f64 = 0.3;
-/// Processes assumed before the fleet is known.
+/// Fleet size assumed before the fleet is known.
 const INITIAL_PROCESSES: usize = 9;
-/// Configurations that are remembered, to tell others what has changed since: changes come
-/// some sixteen a second at the most, and others ask at least once a second.
+/// Number of recent configurations kept to compute deltas for peers. There are at most about 16
+/// changes per second, and peers ask at least once per second.
 const CONFIGURATION_HISTORY: usize = 16;
-/// Connections that a member is assumed to accept before the configuration is known.
+/// Connection limit of a member assumed before the configuration is known.
 const INITIAL_MEMBER_CONNECTIONS: usize = 30;
 
-/// Reads that may be sent to a second member because the first is silent.
+/// Budget for hedged reads, which are sent to a second member because the first is slow.
 const HEDGE_BUDGET: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.15,
     reserve_per_second: 2.0,
     capacity: 20.0,
 };
 
-/// Who and where this process is, and the bounds it keeps.
+/// The identity and location of this process, and the time bounds that it keeps.
 #[derive(Debug, Clone)]
 pub struct EngineSettings {
     /// Its name.
@@ -62,67 +62,68 @@
     pub zone: ZoneName,
     /// The regions of all zones.
     pub topology: Topology,
-    /// Where this process answers others.
+    /// The address at which it serves peers.
     pub peer_address: Option<SocketAddr>,
-    /// Cores that it may use: its share of the work that processes do for one another.
+    /// The number of cores that it may use, which weights its share of the work that processes do
+    /// for one another.
     pub weight: f64,
-    /// Time within which a change in the store must be learned of, also where the call that
-    /// was to tell it is never answered.
+    /// Time within which a change in the store must be noticed, even if the call that should
+    /// report it is never answered.
     pub propagation_bound: Duration,
-    /// How long a member that leaves, or has left, may still be given work.
+    /// How long a member that is leaving or has left may still get work.
     pub departure_grace: Duration,
-    /// Time within which a change of the configuration must be acted on.
+    /// Time within which a configuration change must take effect.
     pub configuration_bound: Duration,
-    /// Time within which an evacuation must be acted on; `None` where zones are not evacuated.
+    /// Time within which an evacuation must take effect; `None` if evacuations aren't used.
     pub evacuation_bound: Option<Duration>,
-    /// How exactly the limits of cold members are kept.
+    /// How strictly the limits of members in slow start are kept.
     pub slow_start: SlowStartBounds,
-    /// How callers prove on whose behalf they ask; `None` where they need not.
+    /// How callers authenticate as tenants; `None` if they don't.
     pub tenants: Option<TenantPolicy>,
 }
 
-/// What a cold member may get beyond what it takes, in any second.
+/// By how much the load of a member in slow start may exceed its limit in any second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStartBounds {
-    /// Multiple of what it takes in a second.
+    /// Excess as a multiple of the limit per second.
     pub excess: f64,
-    /// Statements besides.
+    /// Additional statements.
     pub slack: f64,
 }
 
-/// The stores of records. Every process follows the shared ones; leases change often and
-/// concern few, so they are kept apart.
+/// The record stores. Every process follows the shared records. Leases are kept separately because
+/// they change often and concern few processes.
 #[derive(Debug, Clone)]
 pub struct EngineRecords {
-    /// Leaderships, processes, suspicions.
+    /// Leadership records, process records and suspicion reports.
     pub shared: Arc<dyn RecordStore>,
     /// Leases.
     pub leases: Arc<dyn RecordStore>,
 }
 
-/// How far the process has come towards its end.
+/// The phases of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
-    /// It serves.
+    /// The process serves normally.
     Serving,
-    /// It is told not ready, and serves on.
+    /// It reports not ready, but continues to serve.
     Leaving,
-    /// Idle sessions are closed.
+    /// Idle sessions are being closed.
     ClosingIdle,
-    /// Open transactions are ended.
+    /// Open transactions are being ended.
     EndingTransactions,
-    /// Everything is closed.
+    /// Everything is being closed.
     Closing,
 }
 
-/// The shared state.
+/// The shared state of a process.
 #[derive(Debug)]
 pub struct Engine {
     settings: EngineSettings,
     back_end: Arc<dyn BackEnd>,
     peers: Arc<dyn PeerNetwork>,
     configuration: watch::Sender<Option<Arc<Configuration>>>,
-    /// The configurations used last, the newest at the end.
+    /// Recently used configurations, newest last.
     recent_configurations: Mutex<VecDeque<Arc<Configuration>>>,
     evacuations: watch::Sender<Arc<Evacuations>>,
     evacuation_schedule: Arc<Schedule>,
@@ -133,7 +134,7 @@
     homes: Arc<Homes>,
     duty: Arc<Duty>,
     vouching: Vouching,
-    /// The lease for promotions as its holder has told it last.
+    /// The promotion lease as last announced by its holder.
     announced_promotion_lease: watch::Sender<Option<LeaseRecord>>,
     following: Following,
     counters: Counters,
@@ -148,7 +149,7 @@
 }
 
 impl Engine {
-    /// An engine that knows nothing yet.
+    /// Creates an engine without any configuration or members.
     pub fn new(
         settings: EngineSettings,
         back_end: Arc<dyn BackEnd>,
@@ -188,32 +189,32 @@
         })
     }
 
-    /// Who this process is, and its bounds.
+    /// The settings of this process.
     pub fn settings(&self) -> &EngineSettings {
         &self.settings
     }
 
-    /// The log of decisions.
+    /// The event log.
     pub fn events(&self) -> &EventLog {
         &self.events
     }
 
-    /// Bounds the reads that are sent to a second member.
+    /// The budget for hedged reads.
     pub fn hedges(&self) -> &RetryBudget {
         &self.hedges
     }
 
-    /// Where leases are kept.
+    /// The store that holds the leases.
     pub fn lease_records(&self) -> &Arc<dyn RecordStore> {
         &self.lease_records
     }
 
-    /// The other processes.
+    /// The network to the other processes.
     pub fn peers(&self) -> &Arc<dyn PeerNetwork> {
         &self.peers
     }
 
-    /// The records of leaderships.
+    /// The leadership records.
     pub fn terms(&self) -> &TermFollower {
         &self.terms
     }
@@ -223,12 +224,13 @@
         self.configuration.borrow().clone()
     }
 
-    /// The route of `database` as of now.
+    /// The current route of `database`.
     pub fn route(&self, database: &str) -> Option<Arc<Route>> {
         self.configuration()?.routes.get(database).cloned()
     }
 
-    /// Takes a configuration into use, unless a later one is. Returns whether it was taken.
+    /// Puts a configuration into use unless the current one is at least as new. Returns whether it
+    /// was put into use.
     pub fn set_configuration(&self, configuration: Configuration) -> bool {
         let version = configuration.version;
         let routes = configuration.routes.len();
@@ -236,7 +238,8 @@
         let taken = self.configuration.send_if_modified(|current| {
             let later = current.as_ref().is_none_or(|known| known.version < version);
             if later {
-                // Before anybody learns of it: cold members are counted from then on.
+                // Must happen before the configuration is visible: from then on statements to
+                // members in slow start are counted.
                 self.slow_starts.configured(&configuration);
                 *current = Some(Arc::clone(&configuration));
             }
@@ -262,29 +265,30 @@
         }
     }
 
-    /// The configuration of `version`, if it was used lately.
+    /// The configuration of `version`, if it is among the recent ones.
     pub fn recent_configuration(&self, version: u64) -> Option<Arc<Configuration>> {
         let recent = lock(&self.recent_configurations);
         let mut recent = recent.iter();
         recent.find(|known| known.version == version).cloned()
     }
 
-    /// Tells of changes of the configuration.
+    /// Subscribes to configuration changes.
     pub fn subscribe_configuration(&self) -> watch::Receiver<Option<Arc<Configuration>>> {
         self.configuration.subscribe()
     }
 
-    /// The zones whose servers are to get no more work.
+    /// The evacuated zones, whose servers get no new work.
     pub fn evacuations(&self) -> Arc<Evacuations> {
         self.evacuations.borrow().clone()
     }
 
-    /// Tells of changes of these.
+    /// Subscribes to changes of the evacuated zones.
     pub fn subscribe_evacuations(&self) -> watch::Receiver<Arc<Evacuations>> {
         self.evacuations.subscribe()
     }
 
-    /// Takes evacuations into use, unless later ones are. Returns whether they were taken.
+    /// Puts evacuations into use unless the current ones are at least as new. Returns whether they
+    /// were put into use.
     pub fn set_evacuations(&self, evacuations: Evacuations) -> bool {
         let (version, zones) = (evacuations.version, evacuations.zones.clone());
         let mut changed = false;
@@ -292,7 +296,7 @@
             let later = current.version < version;
             if later {
                 changed = current.zones != zones;
-                // First: the zone's members are cold by the moment at which it is open again.
+                // Must come first: a zone's members must be in slow start before the zone reopens.
                 self.slow_starts.evacuated(current, &evacuations);
                 self.evacuation_schedule.take(&zones, Instant::now());
                 *current = Arc::new(evacuations);
@@ -306,28 +310,28 @@
         taken
     }
 
-    /// When nothing more is sent to which evacuated zone.
+    /// The schedule by which commands to evacuated zones stop.
     pub fn evacuation_schedule(&self) -> &Schedule {
         &self.evacuation_schedule
     }
 
-    /// The check before each command to `member`.
+    /// Creates the check that runs before each command to `member`.
     fn gate(&self, member: &Member, sender: Sender) -> Gate {
         let schedule = Arc::clone(&self.evacuation_schedule);
         Gate::new(schedule, member.zone.clone(), sender)
     }
 
-    /// The directory of members.
+    /// The current member directory.
     pub fn directory(&self) -> Arc<Directory> {
         self.directory.borrow().clone()
     }
 
-    /// Tells of changes of the directory.
+    /// Subscribes to directory changes.
     pub fn subscribe_directory(&self) -> watch::Receiver<Arc<Directory>> {
         self.directory.subscribe()
     }
 
-    /// Takes a directory into use.
+    /// Puts a directory into use.
     pub fn set_directory(&self, directory: Directory) {
         let before = self.directory();
         for member in directory.members() {
@@ -347,14 +351,14 @@
         self.directory.send_replace(Arc::new(directory));
     }
 
-    /// Takes members for gone whose entries have lapsed for too long.
+    /// Marks members as gone whose entries have been lapsed for too long.
     pub fn expire_lapsed_members(&self) {
         if let Some(next) = self.directory().after_lapses(Instant::now()) {
             self.set_directory(next);
         }
     }
 
-    /// Takes `members` into the directory, those of them whose entries it does not know.
+    /// Adds those of `members` to the directory that it doesn't contain.
     pub fn add_missing_members(&self, members: Vec<Member>) {
         self.directory.send_if_modified(|directory| {
             let next = directory.remembering(members);
@@ -366,17 +370,17 @@
         });
     }
 
-    /// Whether a session can be served: the configuration and the members are known.
+    /// Whether sessions can be served, because the configuration and at least one member are known.
     pub fn is_started(&self) -> bool {
         self.configuration.borrow().is_some() && self.directory.borrow().members().next().is_some()
     }
 
-    /// Resolves once a session can be served.
+    /// Waits until sessions can be served.
     pub async fn started(&self) {
         let mut configuration = self.configuration.subscribe();
         let mut directory = self.directory.subscribe();
         while !self.is_started() {
-            // The senders live as long as this does.
+            // `changed` can't fail: `self` owns the senders.
             tokio::select! {
                 _ = configuration.changed() => {}
                 _ = directory.changed() => {}
@@ -384,7 +388,7 @@
         }
     }
 
-    /// The group called `name`; made when first asked for.
+    /// The group `name`, created on first use.
     pub fn group(&self, name: &GroupName) -> Arc<Group> {
         let mut groups = lock(&self.groups);
         if let Some(group) = groups.get(name) {
@@ -395,8 +399,8 @@
         group
     }
 
-    /// The groups that have members and are configured. Entries may name others, which nobody
-    /// asks for and which may never have a leader.
+    /// The configured groups that have members. Directory entries may name other groups, which get
+    /// no requests and may never have a leader.
     pub fn configured_groups(&self) -> Vec<GroupName> {
         let Some(configuration) = self.configuration() else {
             return Vec::new();
@@ -406,22 +410,22 @@
         names
     }
 
-    /// Replicas that must have received a commit of `group` before its acknowledgement.
+    /// The number of replicas that must have received a commit of `group` before it is
+    /// acknowledged.
     pub fn sync_replicas(&self, group: &str) -> usize {
         let configuration = self.configuration.borrow();
         let settings = configuration.as_ref().and_then(|c| c.groups.get(group));
         settings.map_or(0, |settings| settings.sync_replicas)
     }
 
-    /// Takes the number of processes in the fleet, and divides the members' connections.
+    /// Sets the number of processes in the fleet and redistributes the members' connections.
     pub fn set_processes(&self, processes: usize) {
         self.processes.store(processes, Ordering::Relaxed);
         self.update_connection_limits();
     }
 
-    /// How long one call that waits for changes in the store may wait: short enough that a
-    /// call that is never answered is noticed in time, by those too that learn of changes
-    /// from others.
+    /// The timeout of one store call that watches for changes. Short enough that a call that is
+    /// never answered is noticed in time, also by processes that get their updates through relays.
     pub fn watch_timeout(&self) -> Duration {
         let share = match following::uses_relays(self) {
             true => RELAYED_FEED_PROPAGATION_SHARE,
@@ -430,47 +434,47 @@
         self.settings.propagation_bound.mul_f64(share)
     }
 
-    /// Processes in the fleet, as far as is known.
+    /// The known number of processes in the fleet.
     pub fn processes(&self) -> usize {
         self.processes.load(Ordering::Relaxed)
     }
 
-    /// How this process follows the store.
+    /// The state of following the store.
     pub fn following(&self) -> &Following {
         &self.following
     }
 
-    /// The shards of rate limits that are counted here.
+    /// The rate-limit shards that this process counts.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Tenants that were told to have no permits left.
+    /// Recent permit refusals by tenant.
     pub fn refusals(&self) -> &Refusals {
         &self.refusals
     }
 
-    /// What this process knows and has sent of cold members.
+    /// The slow-start state of members.
     pub fn slow_starts(&self) -> &SlowStarts {
         &self.slow_starts
     }
 
-    /// The lease for promotions as far as this process holds it.
+    /// The promotion lease, as far as this process holds it.
     pub(crate) fn duty(&self) -> &Arc<Duty> {
         &self.duty
     }
 
-    /// What vouching for the terms of leaders needs.
+    /// The state for vouching for leaders' terms.
     pub(crate) fn vouching(&self) -> &Vouching {
         &self.vouching
     }
 
-    /// The lease for promotions as its holder has told this process last.
+    /// The promotion lease as last announced to this process by its holder.
     pub fn announced_promotion_lease(&self) -> &watch::Sender<Option<LeaseRecord>> {
         &self.announced_promotion_lease
     }
 
-    /// The homes of the members.
+    /// The placement of members on their homes.
     pub fn homes(&self) -> &Arc<Homes> {
         &self.homes
     }
@@ -481,7 +485,7 @@
         }
     }
 
-    /// What `member` offers all processes together.
+    /// The total capacity of `member` for all processes.
     fn capacity(&self, member: &Member) -> Capacity {
         let configuration = self.configuration.borrow();
         let settings = configuration.as_ref();
@@ -504,20 +508,19 @@
         }
     }
 
-    /// Whether this process runs its sessions' statements at `member` over connections of
-    /// its own: it is one of its homes, or the fleet is so small that it needs none.
+    /// Whether this process uses its own connections to `member` for its sessions, because it is
+    /// one of the member's homes or the fleet is small enough to need none.
     pub fn connects_directly(&self, member: &Member) -> bool {
         self.all_connect_directly(member) || self.homes.is_home(member)
     }
 
-    /// Whether all processes run their sessions' statements at `member` over connections of
-    /// their own.
+    /// Whether every process uses its own connections to `member`.
     pub fn all_connect_directly(&self, member: &Member) -> bool {
         self.capacity(member).suffices_for(self.processes())
     }
 
-    /// Whether this process may have connections to the member called `id`, so that its
-    /// traffic tells whether the member answers.
+    /// Whether this process may have connections to the member `id`, so that its traffic shows
+    /// whether the member answers.
     pub fn monitors_member(&self, id: &str) -> bool {
         let directory = self.directory();
         let member = directory.member(id);
@@ -525,7 +528,7 @@
             .is_none_or(|member| self.connects_directly(member) || self.homes.is_candidate(member))
     }
 
-    /// Processes that watch each member of `group`.
+    /// The number of processes that monitor each member of `group`.
     pub fn monitor_count(&self, group: &str) -> usize {
         let directory = self.directory();
         let members = directory.members_of(group);
@@ -537,8 +540,9 @@
         }
     }
 
-    /// What sessions reach `allowed` with. Connections that lead through other processes are
-    /// apart for each set of regions: each goes through one process for a while.
+    /// The pool through which sessions reach the member `allowed`. Connections through homes have a
+    /// separate pool for each set of allowed regions, because such a connection stays with one home
+    /// for a while.
     pub fn session_pool(&self, allowed: &Allowed<Arc<Member>>) -> Allowed<Arc<MemberPool>> {
         let member = allowed.get();
         if self.connects_directly(member) {
@@ -558,22 +562,22 @@
         allowed.with(Arc::clone(pool))
     }
 
-    /// Forgets the connections of sets of regions, which may never be asked for again.
+    /// Drops the pools of restricted sets of regions, which may never be used again.
     fn clear_restricted_pools(&self) {
         lock(&self.remote_pools).retain(|(_, residency), _| residency.is_anywhere());
     }
 
-    /// The regions in which statements for `database` on behalf of `tenant` may run, by the
-    /// newest configuration. What that does not name binds nothing.
+    /// The regions in which statements for `database` on behalf of `tenant` may run according to
+    /// the newest configuration. An unknown database or tenant adds no restriction.
     pub fn residency(&self, database: &str, tenant: Option<&TenantName>) -> Residency {
         let configuration = self.configuration.borrow();
         let configuration = configuration.as_ref();
         configuration.map_or(Residency::ANYWHERE, |c| c.residency(database, tenant))
     }
 
-    /// This process's own connections to `member`: its sessions' where it
-    /// [connects itself](Self::connects_itself), those of others if it is a home, and for
-    /// orders.
+    /// The pool of this process's own connections to `member`. It serves the process's own sessions
+    /// if it [connects directly](Self::connects_directly), other processes if it is a home of the
+    /// member, and control orders.
     pub fn pool(&self, member: &Arc<Member>) -> Arc<MemberPool> {
         let mut pools = lock(&self.pools);
         if let Some(pool) = pools.get(&member.id) {
@@ -589,24 +593,24 @@
         pool
     }
 
-    /// The connections to the member called `id`, if it is known.
+    /// The pool of the member `id`, if it is in the directory.
     pub fn pool_by_id(&self, id: &str) -> Option<Arc<MemberPool>> {
         let directory = self.directory();
         directory.member(id).map(|member| self.pool(member))
     }
 
-    /// This process's own connections to the member called `id`, if it was ever used.
+    /// The pool of the member `id`, if it was used before.
     pub fn existing_pool(&self, id: &str) -> Option<Arc<MemberPool>> {
         lock(&self.pools).get(id).cloned()
     }
 
-    /// The connections to all members that were used.
+    /// The pools of all members that were used.
     pub fn pools(&self) -> Vec<Arc<MemberPool>> {
         lock(&self.pools).values().cloned().collect()
     }
 
-    /// Closes resting connections to the members of `zone`, those made while no home was
-    /// reached included.
+    /// Closes idle connections to the members of `zone`, including direct ones that were opened
+    /// while no home was reachable.
     pub fn close_idle_connections_in(&self, zone: &ZoneName) {
         let mut pools = self.pools();
         pools.extend(lock(&self.remote_pools).values().cloned());
@@ -614,17 +618,17 @@
         there.for_each(|pool| pool.close_resting());
     }
 
-    /// How far the process is from its end.
+    /// The current shutdown phase.
     pub fn stop_phase(&self) -> StopPhase {
         *self.stop.borrow()
     }
 
-    /// Tells of steps towards the end.
+    /// Subscribes to shutdown phases.
     pub fn subscribe_stop(&self) -> watch::Receiver<StopPhase> {
         self.stop.subscribe()
     }
 
-    /// Goes on to `phase`, never back.
+    /// Advances to `phase`; never goes back.
     pub fn advance_stop(&self, phase: StopPhase) {
         self.stop.send_if_modified(|current| {
             let later = *current < phase;
@@ -635,7 +639,7 @@
         });
     }
 
-    /// Closes connections that have not been used for long.
+    /// Closes connections that have been idle for a long time.
     pub fn close_unused_connections(&self) {
         lock(&self.pools)
             .values()
--- a/crates/engine/src/events.rs
+++ b/crates/engine/src/events.rs
@@ -1,9 +1,9 @@
-//! Structured events: one for each decision that touches a request or changes what the
-//! process believes.
+//! Structured events: one for each decision that affects a request or changes the process's view
+//! of the fleet.
 //!
-//! Events go through the `log` facade under the target [`TARGET`], as JSON objects. Their
-//! volume is bounded for each [`EventClass`]: what is over the budget is counted, and the
-//! count is told with the next event of the class.
+//! Events are logged through the `log` facade with the target [`TARGET`], as JSON objects. Their
+//! rate is limited per [`EventClass`]. Events over the limit are counted, and the next event of
+//! the class reports the count.
 
 use crate::directory::Role;
 use crate::group::Epoch;
@@ -22,70 +22,70 @@
 /// Target of event records in the log.
 pub const TARGET: &str = "stilequay::event";
 
-/// What was done on behalf of one request.
+/// The handling of one request.
 #[derive(Debug, Clone, Serialize)]
 pub struct RequestEvent {
     /// The request.
     pub id: RequestId,
-    /// The caller's own key of it, where it gave one.
+    /// The caller's own key for the request, if it sent one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
-    /// The database that the session is for.
+    /// The session's database.
     pub database: DatabaseName,
-    /// The tenant on whose behalf it was asked.
+    /// The tenant on whose behalf the request was sent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tenant: Option<TenantName>,
-    /// The group that the route leads to.
+    /// The group of the route.
     pub group: Option<GroupName>,
-    /// Kind of statement.
+    /// The kind of statement.
     pub statement: &'static str,
-    /// Version of the configuration that chose the route.
+    /// Version of the configuration that the route came from.
     pub configuration: u64,
-    /// Age of the proof that it is the newest, ms, where the request was refused for that, for
-    /// its credential, or for its tenant's rate.
+    /// Age of the proof that this configuration is the newest, ms. Set if the request was refused
+    /// because of this age, its credential or its tenant's rate limit.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub proof_age_ms: Option<u64>,
-    /// Epoch of the leadership that was relied on.
+    /// Epoch of the leadership that the request relied on.
     pub epoch: Option<Epoch>,
     /// Age of the evidence for that leadership, ms.
     pub evidence_age_ms: Option<u64>,
-    /// Position that the member's log had to hold.
+    /// The log position that the member had to have reached.
     pub after: Option<LogPosition>,
-    /// Members tried, in order.
+    /// The members tried, in order.
     pub attempts: Vec<AttemptEvent>,
-    /// What the caller was told.
+    /// The outcome reported to the caller.
     pub outcome: OutcomeEvent,
     /// Time from reading the request to its answer, ms.
     pub elapsed_ms: u64,
-    /// Whether that is longer than the route's objective.
+    /// Whether that time exceeds the route's latency objective.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub late: bool,
 }
 
-/// One member tried.
+/// An attempt at one member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct AttemptEvent {
     /// The member.
     pub member: MemberId,
-    /// What came of it.
+    /// The result of the attempt.
     pub result: String,
-    /// When it ended, ms after the request was read.
+    /// When the attempt ended, ms after the request was read.
     pub ended_ms: u64,
 }
 
-/// What a caller was told.
+/// The outcome reported to a caller.
 #[derive(Debug, Clone, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OutcomeEvent {
-    /// It succeeded.
+    /// The request succeeded.
     Completed,
-    /// It did not.
+    /// The request failed.
     Failed {
         /// Whether it may have run.
         verdict: Verdict,
-        /// Why.
+        /// The reason.
         reason: FailureReason,
-        /// When to come back, ms.
+        /// How long to wait before a retry, ms.
         retry_after_ms: Option<u64>,
     },
 }
@@ -94,27 +94,27 @@
 #[derive(Debug, Clone, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
-    /// A request was decided.
+    /// A request was completed or refused.
     Request(RequestEvent),
-    /// An answer could not be given to its caller, who has left or does not read.
+    /// An answer could not be delivered because the caller has disconnected or doesn't read.
     AnswerUndelivered {
         /// The request.
         id: RequestId,
     },
     /// A caller's session was refused.
     SessionRefused {
-        /// The database asked for.
+        /// The requested database.
         database: DatabaseName,
-        /// Why.
+        /// The reason.
         reason: FailureReason,
         /// Version of the configuration.
         configuration: u64,
-        /// Age of the proof that it is the newest, ms; `None` where there never was one.
+        /// Age of the proof that it is the newest, ms; `None` if there never was one.
         #[serde(skip_serializing_if = "Option::is_none")]
         proof_age_ms: Option<u64>,
     },
-    /// A statement that another process has forwarded was not sent to its member, was lost
-    /// there, or took long.
+    /// A statement forwarded by another process was not sent to its member, was lost there, or
+    /// took too long.
     Forwarded {
         /// The request.
         id: RequestId,
@@ -122,48 +122,48 @@
         member: MemberId,
         /// `not_sent`, `lost` or `late`.
         result: &'static str,
-        /// Why.
+        /// The reason.
         reason: String,
-        /// Time for which it was here, ms.
+        /// How long this process handled it, ms.
         elapsed_ms: u64,
     },
-    /// A configuration was taken into use.
+    /// A configuration was put into use.
     ConfigurationTaken {
         /// Its version.
         version: u64,
         /// Number of routes.
         routes: usize,
     },
-    /// Evacuated zones were taken into use.
+    /// A changed set of evacuated zones was put into use.
     EvacuationsTaken {
-        /// The store's version of the newest request.
+        /// The store version of the newest evacuation request.
         version: u64,
         /// All evacuated zones.
         zones: BTreeSet<ZoneName>,
     },
-    /// Nothing is sent to the members of an evacuated zone any more.
+    /// From now on nothing is sent to the members of an evacuated zone.
     ZoneClosed {
         /// The zone.
         zone: ZoneName,
         /// The version of the evacuations.
         version: u64,
-        /// Time since this process had learned of the request, ms.
+        /// Time since this process learned of the request, ms.
         after_ms: u64,
     },
-    /// A member's entry has changed.
+    /// A member's directory entry changed.
     MemberChanged {
         /// The member.
         member: MemberId,
         /// Its group.
         group: GroupName,
-        /// Its state as told.
+        /// Its state in the directory.
         state: crate::directory::MemberState,
-        /// Its role as told.
+        /// Its last reported role.
         role: Role,
         /// The directory's version.
         directory: u64,
     },
-    /// Another leader, or another phase of its promotion, was learned.
+    /// This process learned of a new leader or a new phase of its promotion.
     LeaderChanged {
         /// The group.
         group: GroupName,
@@ -171,7 +171,7 @@
         epoch: Epoch,
         /// The leader, if any.
         leader: Option<MemberId>,
-        /// Whether it has taken the lead.
+        /// Whether it is known to have become leader.
         confirmed: bool,
     },
     /// A leader is suspected.
@@ -182,9 +182,9 @@
         epoch: Epoch,
         /// The leader.
         leader: MemberId,
-        /// On which evidence.
+        /// The evidence for the suspicion.
         evidence: &'static str,
-        /// For how long already, ms.
+        /// How long it has been suspected, ms.
         since_ms: u64,
     },
     /// A step of a promotion was taken.
@@ -199,62 +199,64 @@
         step: &'static str,
         /// The member that it concerns.
         member: Option<MemberId>,
-        /// What the member told.
+        /// The member's report.
         report: Option<MemberReport>,
-        /// What came of it.
+        /// The result.
         result: String,
     },
-    /// The lease for promotions was gained, or is no longer held.
+    /// The promotion lease was acquired or lost.
     PromotionLease {
         /// Whether it is held now.
         held: bool,
         /// Its fencing number.
         fencing: u64,
-        /// Why.
+        /// The reason.
         reason: String,
     },
-    /// What this process may send to a cold member has changed, or the member is cold no more.
+    /// This process's share of the load on a member in slow start changed, or slow start ended.
     SlowStart {
         /// The member.
         member: MemberId,
         /// Its group.
         group: GroupName,
-        /// Statements of this process in a window; `None` where the member is not cold.
+        /// Statements that this process may send per window; `None` if the member isn't in slow
+        /// start.
         share: Option<usize>,
-        /// Statements that it takes in a second from all processes; zero where it is not cold.
+        /// Statements per second that it accepts from all processes; zero if it isn't in slow
+        /// start.
         most: usize,
-        /// For how much longer it is cold, ms.
+        /// Remaining slow-start time, ms.
         left_ms: u64,
     },
-    /// A shard of the rate limits is counted here from now on, or no more.
+    /// This process started or stopped counting a shard of the rate limits.
     RateCounter {
         /// The shard.
         shard: usize,
-        /// Whether it is counted here now.
+        /// Whether this process counts it now.
         held: bool,
-        /// Why.
+        /// The reason.
         reason: String,
     },
-    /// Something outside was lost or regained.
+    /// An external dependency became unavailable or available.
     Dependency {
-        /// What.
+        /// The dependency.
         name: &'static str,
-        /// Whether it is there now.
+        /// Whether it is available now.
         available: bool,
-        /// Why.
+        /// The reason.
         reason: String,
     },
-    /// The process starts, stops, or reads its settings again.
+    /// The process starts, stops or reloads its settings.
     Lifecycle {
-        /// What it does.
+        /// The action.
         action: &'static str,
-        /// Particulars.
+        /// Details.
         detail: String,
     },
 }
 
-/// Classes of events with a budget each. Failures and changes of belief have a larger one
-/// than ordinary successes.
+/// Classes of events, each with its own rate limit. Failures and state changes have a higher limit
+/// than successes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventClass {
     /// A request that succeeded in time.
@@ -266,7 +268,7 @@
 }
 
 impl Event {
-    /// The class whose budget it takes.
+    /// The class whose rate limit applies to it.
     pub fn class(&self) -> EventClass {
         match self {
             Event::Request(request) => match request.outcome {
@@ -282,7 +284,7 @@
     }
 }
 
-/// Lines of a class that are written in one second, and its burst.
+/// The rate limit of a class, in lines per second.
 fn budget_per_second(class: EventClass) -> f64 {
     match class {
         EventClass::Success => 2.0,
@@ -291,7 +293,7 @@
     }
 }
 
-/// Seconds' worth of lines that a quiet class may save up.
+/// Burst capacity of a class, in seconds of its rate.
 const BURST_SECONDS: f64 = 3.0;
 
 #[derive(Debug)]
@@ -310,7 +312,7 @@
         }
     }
 
-    /// The number suppressed before, if the event may be written.
+    /// If the event may be written, returns the number of events suppressed before it.
     fn admit(&mut self, class: EventClass, now: Instant) -> Option<u64> {
         let rate = budget_per_second(class);
         let earned = now.duration_since(self.refilled_at).as_secs_f64() * rate;
@@ -325,7 +327,7 @@
     }
 }
 
-/// An event as it is written.
+/// The JSON object that is written for an event.
 #[derive(Serialize)]
 struct EventLine<'a> {
     #[serde(flatten)]
@@ -340,10 +342,10 @@
     *count == 0
 }
 
-/// Writes events within their budgets.
+/// Writes events within the rate limits of their classes.
 #[derive(Debug)]
 pub struct EventLog {
-    /// Told with each event where several processes' parts share one log.
+    /// Included in each event if several nodes share one log.
     node: Option<NodeName>,
     budgets: Mutex<[ClassBudget; 3]>,
 }
@@ -364,7 +366,7 @@
 }
 
 impl EventLog {
-    /// A log whose events name `node`.
+    /// Creates a log whose events include `node`.
     pub fn for_node(node: NodeName) -> Self {
         Self {
             node: Some(node),
@@ -372,7 +374,7 @@
         }
     }
 
-    /// Writes `event` if its class has budget left.
+    /// Writes `event` unless its class is over the rate limit.
     pub fn write(&self, event: &Event) {
         let class = event.class();
         let Some(suppressed_before) = self.admit(class) else {
@@ -384,13 +386,13 @@
             node: self.node.as_deref(),
             suppressed_before,
         };
-        // Texts, numbers and flags only: encoding can't fail.
+        // Events contain only strings, numbers and booleans, so encoding can't fail.
         let line = serde_json::to_string(&written).unwrap_or_default();
         log::log!(target: TARGET, level(class), "{line}");
     }
 
-    /// Whether an event of `class` is going to be written if it comes now. Lets callers
-    /// skip the making of events that would be dropped.
+    /// Whether an event of `class` would be written now; if not, it counts as suppressed. Lets
+    /// callers skip building events that would be dropped.
     pub fn has_budget(&self, class: EventClass) -> bool {
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         let budget = &mut budgets[class as usize];
@@ -415,7 +417,7 @@
     }
 }
 
-/// Tells when something outside is lost, and when it is regained: once each time.
+/// Writes an event each time a dependency becomes unavailable or available again.
 #[derive(Debug)]
 pub struct DependencyMonitor {
     name: &'static str,
@@ -423,7 +425,7 @@
 }
 
 impl DependencyMonitor {
-    /// Watches what is called `name`, taken to be there.
+    /// Monitors the dependency `name`, initially assumed available.
     pub fn new(name: &'static str) -> Self {
         Self {
             name,
@@ -431,7 +433,7 @@
         }
     }
 
-    /// Takes what came of the latest use: nothing, or why it failed.
+    /// Records the outcome of the latest use; `failure` is the reason if it failed.
     pub fn record_outcome(&mut self, log: &EventLog, failure: Option<String>) {
         let available = failure.is_none();
         if self.available == available {
@@ -446,7 +448,7 @@
     }
 }
 
-/// Whole milliseconds of `duration`.
+/// `duration` in whole milliseconds.
 pub fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,12 +1,11 @@
-//! The protocol-free engine of stilequay.
+//! The protocol-independent engine of stilequay.
 //!
-//! An adapter of a caller's protocol opens a [`session::Session`] for each caller and
-//! hands it typed [`statement::Request`]s. The engine decides which member of a group
-//! runs each of them, when a replica is fresh enough, when a connection can be shared,
-//! what may be retried, and what a caller is told. It also decides who leads a group:
-//! see [`leadership`].
+//! A protocol adapter opens a [`session::Session`] for each caller and passes it typed
+//! [`statement::Request`]s. The engine decides which member of a group runs each request, whether
+//! a replica is fresh enough, when connections can be shared, what may be retried, and what the
+//! caller gets as the outcome. It also elects group leaders: see [`leadership`].
 //!
-//! Everything outside is reached through [`ports`]: back ends, a store with conditional
+//! All external systems are accessed through [`ports`]: back ends, peers, a store with conditional
 //! writes, and the service that carries out promotions.
 
 pub mod configuration;
--- a/crates/engine/src/position.rs
+++ b/crates/engine/src/position.rs
@@ -1,14 +1,14 @@
-//! Positions in a group's replicated log.
+//! Log positions in a group's replicated log.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// The number of a leader's reign, as the members count it.
+/// A leader's term, as counted by the members.
 pub type Term = u64;
 
-/// A position in the log: ordered by term first, then by number.
+/// A position in the log, ordered by term and then by number.
 ///
 /// ```
 /// use stilequay_engine::position::LogPosition;
@@ -23,12 +23,12 @@
 pub struct LogPosition {
     /// The term in which the entry was written.
     pub term: Term,
-    /// The number of the entry.
+    /// The number of the entry in the log.
     pub number: u64,
 }
 
 impl LogPosition {
-    /// The position `number` of `term`.
+    /// Creates the position `number` in `term`.
     pub fn new(term: Term, number: u64) -> Self {
         Self { term, number }
     }
@@ -41,10 +41,10 @@
 }
 
 quick_error! {
-    /// A text is no position.
+    /// A log position could not be parsed.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum PositionError {
-        /// It is not two numbers with a dot between them.
+        /// The text is not two numbers separated by a dot.
         Malformed(text: String) {
             display("not a log position: {text:?}")
         }
--- a/crates/engine/src/telemetry.rs
+++ b/crates/engine/src/telemetry.rs
@@ -1,52 +1,52 @@
-//! Metrics: their names and what they mean. Counters and histograms are recorded where
-//! things happen; gauges are read when somebody asks for the metrics.
+//! Metric definitions. Counters and histograms are recorded at the event; gauges are updated when
+//! the metrics are scraped.
 
 use crate::engine::Engine;
 use crate::leadership::evacuating;
 use tokio::time::Instant;
 
-/// What a metric is.
+/// The type of a metric.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MetricKind {
-    /// A number that only rises.
+    /// A monotonically increasing number.
     Counter,
-    /// A number as it is now.
+    /// A current value.
     Gauge,
-    /// Durations by size, seconds.
+    /// A distribution of durations in seconds.
     Histogram,
 }
 
-/// A metric and what it means.
+/// The definition of a metric.
 #[derive(Debug, Clone, Copy)]
 pub struct Metric {
     /// Its name.
     pub name: &'static str,
-    /// What it is.
+    /// Its type.
     pub kind: MetricKind,
-    /// What it means.
+    /// Its description.
     pub help: &'static str,
 }
 
 impl Metric {
-    /// A number that only rises.
+    /// Defines a counter.
     pub const fn counter(name: &'static str, help: &'static str) -> Self {
         let kind = MetricKind::Counter;
         Self { name, kind, help }
     }
 
-    /// A number as it is now.
+    /// Defines a gauge.
     pub const fn gauge(name: &'static str, help: &'static str) -> Self {
         let kind = MetricKind::Gauge;
         Self { name, kind, help }
     }
 
-    /// Durations by size, seconds.
+    /// Defines a histogram of durations in seconds.
     pub const fn histogram(name: &'static str, help: &'static str) -> Self {
         let kind = MetricKind::Histogram;
         Self { name, kind, help }
     }
 
-    /// Tells the process's recorder what it means.
+    /// Registers the description with the process's metrics recorder.
     pub fn describe(&self) {
         match self.kind {
             MetricKind::Counter => metrics::describe_counter!(self.name, self.help),
@@ -56,7 +56,7 @@
     }
 }
 
-/// The engine's metrics; each has a line in docs/OPERATIONS.md.
+/// The engine's metrics. Each must be listed in docs/OPERATIONS.md.
 pub const METRICS: &[Metric] = &[
     Metric::counter(
         "stilequay_requests_total",
@@ -205,7 +205,7 @@
     ),
 ];
 
-/// Reads the gauges.
+/// Updates all gauges.
 pub fn record_gauges(engine: &Engine) {
     let version = engine.configuration().map_or(0, |c| c.version);
     metrics::gauge!("stilequay_configuration_version").set(version as f64);
@@ -248,12 +248,12 @@
     metrics::gauge!("stilequay_evacuated_leaders").set(there.count() as f64);
 }
 
-/// Zeroes the gauges of a member that is no longer known.
+/// Zeroes the gauges of a member that has left the directory.
 pub fn reset_member_gauges(member: &str) {
     PoolGauges::default().record(member);
 }
 
-/// How the connections to one member are used.
+/// The gauges of the pool of one member.
 #[derive(Debug, Default)]
 struct PoolGauges {
     in_use: usize,
--- a/crates/engine/src/tenant.rs
+++ b/crates/engine/src/tenant.rs
@@ -1,4 +1,4 @@
-//! Tenants: on whose behalf callers ask, how they prove it, and how much they may ask.
+//! Tenants, their credentials and their rate limits.
 
 use crate::names::TenantName;
 use crate::rate::RateBounds;
@@ -8,11 +8,12 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Bytes of a digest that are kept: enough that nobody finds another key with the same ones.
+/// Length to which digests are truncated, in bytes. Long enough that a second key with the same
+/// digest can't be found in practice.
 const DIGEST_BYTES: usize = 16;
 
-/// An API key, as far as this system keeps it: a digest. The key itself is dropped where it
-/// is decoded, so that no log, metric or message can hold it.
+/// The digest of an API key. The key itself is dropped right after it is decoded, so it can't
+/// appear in logs, metrics or messages.
 ///
 /// ```
 /// use stilequay_engine::tenant::Credential;
@@ -25,7 +26,7 @@
 pub struct Credential([u8; DIGEST_BYTES]);
 
 impl Credential {
-    /// The digest of `key`.
+    /// Computes the digest of `key`.
     pub fn from_key(key: &[u8]) -> Self {
         let digest = Sha256::digest(key);
         let mut kept = [0; DIGEST_BYTES];
@@ -40,33 +41,33 @@
     }
 }
 
-/// How much a tenant may ask of the whole fleet.
+/// A tenant's rate limit for the whole fleet (a token bucket).
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct RateLimit {
-    /// Operations a second, in the long run.
+    /// Sustained operations per second.
     pub per_second: f64,
-    /// Operations that may come at once after a rest.
+    /// Maximum burst of operations after an idle time.
     pub burst: f64,
 }
 
-/// What holds for one tenant.
+/// The settings of one tenant.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name; the members are told this one.
+    /// Its name, which is also passed on to members.
     pub name: TenantName,
-    /// How much it may ask; `None` for as much as it likes.
+    /// Its rate limit; `None` for no limit.
     pub rate: Option<RateLimit>,
-    /// Where its statements may run.
+    /// The regions in which its statements may run.
     #[serde(default)]
     pub residency: Residency,
 }
 
-/// What a deployment with tenants asks of every process.
+/// The tenant policy that every process of a deployment must enforce.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TenantPolicy {
-    /// How long after the removal of a credential was acknowledged it may still be used, on
-    /// whichever process, in touch with others or not.
+    /// How long a credential may still be accepted after its removal was acknowledged. Holds for
+    /// every process, including ones that are partitioned from all others.
     pub revocation: Duration,
-    /// How exactly tenants' rate limits are kept; `None` where they are not.
+    /// How strictly rate limits are enforced; `None` if they aren't.
     pub rates: Option<RateBounds>,
 }
--- a/crates/engine/src/topology.rs
+++ b/crates/engine/src/topology.rs
@@ -1,9 +1,9 @@
-//! Zones and regions: how far a member or a process is from this one.
+//! Zones, regions and the distance of members and processes from this process.
 
 use crate::names::{RegionName, ZoneName};
 use std::collections::{BTreeSet, HashMap};
 
-/// How far something is from this process.
+/// The distance of a member or process from this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum Distance {
     /// In the same zone.
@@ -16,7 +16,7 @@
 }
 
 impl Distance {
-    /// Its name in events and metrics.
+    /// The name used in events and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Distance::OwnZone => "own_zone",
@@ -26,7 +26,7 @@
     }
 }
 
-/// The regions of all zones, as the settings of this process tell them.
+/// The regions of all zones, according to the settings of this process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Topology {
     zone: ZoneName,
@@ -34,7 +34,8 @@
 }
 
 impl Topology {
-    /// Of a process in `zone`. Zones that `regions` does not name belong to no region.
+    /// Creates the topology of a process in `zone`. Zones that are missing in `regions` belong to
+    /// no region.
     ///
     /// ```
     /// use std::collections::HashMap;
@@ -55,22 +56,22 @@
         &self.zone
     }
 
-    /// The region of this process; `None` where its zone belongs to none.
+    /// The region of this process; `None` if its zone belongs to none.
     pub fn region(&self) -> Option<&RegionName> {
         self.regions.get(&self.zone)
     }
 
-    /// The region of `zone`, if it is known.
+    /// The region of `zone`, if known.
     pub fn region_of(&self, zone: &str) -> Option<&RegionName> {
         self.regions.get(zone)
     }
 
-    /// Whether a zone is known that belongs to `region`.
+    /// Whether any known zone belongs to `region`.
     pub fn has_region(&self, region: &str) -> bool {
         self.regions.values().any(|known| &**known == region)
     }
 
-    /// How far `zone` is. Zones whose regions are not known count as of one region.
+    /// The distance of `zone`. A zone of unknown region counts as in the same region.
     pub fn distance(&self, zone: &str) -> Distance {
         if zone == &*self.zone {
             return Distance::OwnZone;
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Whether all zones that are known belong to one region.
+    /// Whether all known zones belong to one region.
     pub fn is_single_region(&self) -> bool {
         let regions: BTreeSet<&RegionName> = self.regions.values().collect();
         regions.len() <= 1
--- a/crates/engine/src/version.rs
+++ b/crates/engine/src/version.rs
@@ -1,33 +1,33 @@
-//! Versions of what the store holds.
+//! Versions of data in the store.
 //!
-//! A store that is restored from a copy has lost what it had acknowledged since that copy, and
-//! gives the same numbers out again. It counts how often that has happened: its era. A version
-//! holds both, so that whatever was learned in a later era is newer.
+//! A store that is restored from a backup has lost the writes that it acknowledged after that
+//! backup, and assigns the same numbers again. It counts its restores as its era. A version
+//! combines the era and the number, so data from a later era always counts as newer.
 
-/// A version of a record, an entry or a table: the era of the store that gave it out, and the
-/// number within it. Zero: not there, or not known.
+/// A version of a record, an entry or a table: the era of the store in which it was assigned, and
+/// the number within that era. Zero means absent or unknown.
 pub type StoreVersion = u64;
-/// How often the store was restored from a copy, as it tells.
+/// How often the store was restored from a backup, as reported by the store.
 pub type StoreEra = u64;
 
-/// Bits of the number within an era: 2^48 transactions.
+/// Number of bits for the number within an era, enough for 2^48 transactions.
 const NUMBER_BITS: u32 = 48;
-/// The greatest number within an era.
+/// The maximum number within an era.
 const MAX_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
-/// The greatest era that a version can hold.
+/// The maximum era that fits into a version.
 const MAX_ERA: StoreEra = u64::MAX >> NUMBER_BITS;
 
-/// The version that the store calls `number` in `era`.
+/// Combines `era` and the store's `number` into a version.
 pub fn version(era: StoreEra, number: u64) -> StoreVersion {
     (era.min(MAX_ERA) << NUMBER_BITS) | number.min(MAX_NUMBER)
 }
 
-/// The era in which `version` was given out.
+/// The era in which `version` was assigned.
 pub fn era_of(version: StoreVersion) -> StoreEra {
     version >> NUMBER_BITS
 }
 
-/// What the store itself calls `version`.
+/// The store's own number of `version` within its era.
 pub fn number_of(version: StoreVersion) -> u64 {
     version & MAX_NUMBER
 }
