--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -8,10 +8,10 @@
 use crate::group::Group;
 use crate::home::placement::Capacity;
 use crate::home::{Homes, RemoteBackEnd, placement};
-use crate::leadership::duty::Duty;
 use crate::leadership::fleet::connection_share;
 use crate::leadership::follower::TermFollower;
-use crate::leadership::vouching::Vouching;
+use crate::leadership::promotion_lease::PromotionLease;
+use crate::leadership::term_confirmation::TermConfirmation;
 use crate::names::{GroupName, MemberId, NodeName, TenantName, ZoneName};
 use crate::pool::MemberPool;
 use crate::ports::{BackEnd, PeerNetwork, RecordStore};
@@ -19,7 +19,7 @@
 use crate::rate::permit::Refusals;
 use crate::residency::{Allowed, Residency, report_unknown_regions};
 use crate::slow_start::SlowStarts;
-use crate::slow_start::guard::GuardedBackEnd;
+use crate::slow_start::back_end::SlowStartBackEnd;
 use crate::telemetry;
 use crate::tenant::TenantPolicy;
 use crate::topology::Topology;
@@ -132,8 +132,8 @@
     pools: Mutex<HashMap<MemberId, Arc<MemberPool>>>,
     remote_pools: Mutex<HashMap<(MemberId, Residency), Arc<MemberPool>>>,
     homes: Arc<Homes>,
-    duty: Arc<Duty>,
-    vouching: Vouching,
+    promotion_lease: Arc<PromotionLease>,
+    term_confirmation: TermConfirmation,
     /// The promotion lease as last announced by its holder.
     announced_promotion_lease: watch::Sender<Option<LeaseRecord>>,
     following: Following,
@@ -162,13 +162,13 @@
         let schedule = Schedule::new(settings.evacuation_bound, following.subscribe_proof());
         Arc::new_cyclic(|engine| Self {
             settings,
-            back_end: Arc::new(GuardedBackEnd::new(Weak::clone(engine), back_end)),
+            back_end: Arc::new(SlowStartBackEnd::new(Weak::clone(engine), back_end)),
             peers,
             remote_pools: Mutex::default(),
             homes: Arc::new(homes),
             following,
-            duty: Arc::default(),
-            vouching: Vouching::default(),
+            promotion_lease: Arc::default(),
+            term_confirmation: TermConfirmation::default(),
             announced_promotion_lease: watch::Sender::new(None),
             counters: Counters::default(),
             refusals: Refusals::default(),
@@ -240,7 +240,7 @@
             if later {
                 // Must happen before the configuration is visible: from then on statements to
                 // members in slow start are counted.
-                self.slow_starts.configured(&configuration);
+                self.slow_starts.apply_configuration(&configuration);
                 *current = Some(Arc::clone(&configuration));
             }
             later
@@ -248,7 +248,7 @@
         if taken {
             report_unknown_regions(&self.settings.topology, &configuration);
             self.clear_restricted_pools();
-            self.counters.configured(self, &configuration);
+            self.counters.apply_configuration(self, &configuration);
             self.retain_configuration(configuration);
             self.update_connection_limits();
             self.events
@@ -297,8 +297,9 @@
             if later {
                 changed = current.zones != zones;
                 // Must come first: a zone's members must be in slow start before the zone reopens.
-                self.slow_starts.evacuated(current, &evacuations);
-                self.evacuation_schedule.take(&zones, Instant::now());
+                self.slow_starts.apply_evacuations(current, &evacuations);
+                self.evacuation_schedule
+                    .set_evacuated(&zones, Instant::now());
                 *current = Arc::new(evacuations);
             }
             later
@@ -353,7 +354,7 @@
 
     /// Marks members as gone whose entries have been lapsed for too long.
     pub fn expire_lapsed_members(&self) {
-        if let Some(next) = self.directory().after_lapses(Instant::now()) {
+        if let Some(next) = self.directory().without_expired_lapses(Instant::now()) {
             self.set_directory(next);
         }
     }
@@ -361,7 +362,7 @@
     /// Adds those of `members` to the directory that it doesn't contain.
     pub fn add_missing_members(&self, members: Vec<Member>) {
         self.directory.send_if_modified(|directory| {
-            let next = directory.remembering(members);
+            let next = directory.with_unknown(members);
             let changed = next.is_some();
             if let Some(next) = next {
                 *directory = Arc::new(next);
@@ -460,13 +461,13 @@
     }
 
     /// The promotion lease, as far as this process holds it.
-    pub(crate) fn duty(&self) -> &Arc<Duty> {
-        &self.duty
+    pub(crate) fn promotion_lease(&self) -> &Arc<PromotionLease> {
+        &self.promotion_lease
     }
 
-    /// The state for vouching for leaders' terms.
-    pub(crate) fn vouching(&self) -> &Vouching {
-        &self.vouching
+    /// The state for confirming leaders' terms.
+    pub(crate) fn term_confirmation(&self) -> &TermConfirmation {
+        &self.term_confirmation
     }
 
     /// The promotion lease as last announced to this process by its holder.
@@ -499,12 +500,12 @@
     fn connection_share(&self, member: &Member) -> usize {
         let capacity = self.capacity(member);
         let processes = self.processes();
-        if capacity.suffices_for(processes) {
+        if capacity.allows_direct_connections(processes) {
             return connection_share(capacity.connections, processes);
         }
         match self.homes.is_candidate(member) {
-            true => capacity.home_share(),
-            false => placement::LEAST_SHARE,
+            true => capacity.connections_per_home(),
+            false => placement::MIN_PROCESS_CONNECTIONS,
         }
     }
 
@@ -516,7 +517,8 @@
 
     /// Whether every process uses its own connections to `member`.
     pub fn all_connect_directly(&self, member: &Member) -> bool {
-        self.capacity(member).suffices_for(self.processes())
+        self.capacity(member)
+            .allows_direct_connections(self.processes())
     }
 
     /// Whether this process may have connections to the member `id`, so that its traffic shows
@@ -534,9 +536,9 @@
         let members = directory.members_of(group);
         let capacity = members.first().map(|member| self.capacity(member));
         let processes = self.processes();
-        match capacity.is_none_or(|capacity| capacity.suffices_for(processes)) {
+        match capacity.is_none_or(|capacity| capacity.allows_direct_connections(processes)) {
             true => processes,
-            false => placement::HOMES,
+            false => placement::HOMES_PER_MEMBER,
         }
     }
 
@@ -557,7 +559,7 @@
                 let direct = Arc::clone(&self.back_end);
                 let back_end = RemoteBackEnd::new(homes, direct, residency.clone());
                 let pool = MemberPool::remote(Arc::clone(member), Arc::new(back_end));
-                Arc::new(pool.behind(self.gate(member, Sender::Session)))
+                Arc::new(pool.with_gate(self.gate(member, Sender::Session)))
             });
         allowed.with(Arc::clone(pool))
     }
@@ -584,10 +586,10 @@
             return Arc::clone(pool);
         }
         let pool = MemberPool::new(Arc::clone(member), Arc::clone(&self.back_end));
-        let pool = Arc::new(pool.behind(self.gate(member, Sender::Home)));
+        let pool = Arc::new(pool.with_gate(self.gate(member, Sender::Home)));
         pool.set_limit(self.connection_share(member));
-        if self.directory().has_ended(member) {
-            pool.end();
+        if self.directory().has_restarted(member) {
+            pool.retire();
         }
         pools.insert(member.id.clone(), Arc::clone(&pool));
         pool
@@ -615,7 +617,7 @@
         let mut pools = self.pools();
         pools.extend(lock(&self.remote_pools).values().cloned());
         let there = pools.iter().filter(|pool| pool.member().zone == *zone);
-        there.for_each(|pool| pool.close_resting());
+        there.for_each(|pool| pool.close_idle_connections());
     }
 
     /// The current shutdown phase.
@@ -643,10 +645,10 @@
     pub fn close_unused_connections(&self) {
         lock(&self.pools)
             .values()
-            .for_each(|pool| pool.close_unused());
+            .for_each(|pool| pool.close_expired());
         lock(&self.remote_pools)
             .values()
-            .for_each(|pool| pool.close_unused());
+            .for_each(|pool| pool.close_expired());
     }
 
     fn close_obsolete_pools(&self, directory: &Directory) {
@@ -660,8 +662,8 @@
             if !known {
                 pool.close();
                 telemetry::reset_member_gauges(id);
-            } else if directory.has_ended(pool.member()) {
-                pool.end();
+            } else if directory.has_restarted(pool.member()) {
+                pool.retire();
             }
             known
         });
--- a/crates/engine/src/evacuation/gate.rs
+++ b/crates/engine/src/evacuation/gate.rs
@@ -1,44 +1,44 @@
-//! The check before each command to a member.
+//! Checks before each command whether its member's zone is evacuated.
 
 use super::schedule::{MayNotSend, Schedule, Sender};
 use crate::names::ZoneName;
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Whether one member may be sent anything.
+/// Decides whether commands may be sent to one member. The default gate is always open.
 #[derive(Debug, Clone, Default)]
 pub struct Gate {
-    place: Option<Place>,
+    gated: Option<GatedZone>,
 }
 
 #[derive(Debug, Clone)]
-struct Place {
+struct GatedZone {
     schedule: Arc<Schedule>,
     zone: ZoneName,
     sender: Sender,
 }
 
 impl Gate {
-    /// The gate before the members of `zone`.
+    /// Creates the gate for members of `zone` and commands from `sender`.
     pub fn new(schedule: Arc<Schedule>, zone: ZoneName, sender: Sender) -> Self {
-        let place = Place {
+        let gated = GatedZone {
             schedule,
             zone,
             sender,
         };
-        Self { place: Some(place) }
+        Self { gated: Some(gated) }
     }
 
-    /// Whether anything may be sent at `now`.
+    /// Checks whether commands may be sent at `now`.
     ///
     /// # Errors
     ///
-    /// Why it may not; that is counted.
+    /// Returns the reason if they may not, and increments the metric for it.
     pub fn check(&self, now: Instant) -> Result<(), MayNotSend> {
-        let Some(place) = &self.place else {
+        let Some(gated) = &self.gated else {
             return Ok(());
         };
-        let checked = place.schedule.check(&place.zone, place.sender, now);
+        let checked = gated.schedule.check(&gated.zone, gated.sender, now);
         if let Err(error) = &checked {
             let reason = match error {
                 MayNotSend::Evacuated => "evacuated",
@@ -49,18 +49,18 @@
         checked
     }
 
-    /// Whether connections are of no use any more at `now`: the zone is evacuated.
+    /// Whether the zone is evacuated at `now`, so that connections to the member are useless.
     pub fn is_closed(&self, now: Instant) -> bool {
-        self.place.as_ref().is_some_and(|place| {
-            let checked = place.schedule.check(&place.zone, place.sender, now);
+        self.gated.as_ref().is_some_and(|gated| {
+            let checked = gated.schedule.check(&gated.zone, gated.sender, now);
             checked == Err(MayNotSend::Evacuated)
         })
     }
 
-    /// Counts a command that is sent to a zone while that is being evacuated.
+    /// Increments the metric of commands sent to a zone that is being evacuated.
     pub fn count_sent(&self) {
-        let Some(place) = &self.place else { return };
-        if place.schedule.is_evacuated(&place.zone) {
+        let Some(gated) = &self.gated else { return };
+        if gated.schedule.is_evacuated(&gated.zone) {
             metrics::counter!("stilequay_evacuation_sent_total").increment(1);
         }
     }
--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -25,9 +25,9 @@
 
 use crate::engine::Engine;
 use crate::events::{DependencyMonitor, millis};
-use crate::home::placement::Source;
-use crate::leadership::duty::Duty;
+use crate::home::placement::StoreSource;
 use crate::leadership::fleet;
+use crate::leadership::promotion_lease::PromotionLease;
 use crate::link::frame::{FeedVersions, FollowedVersions, StoreUpdates};
 use crate::peers::declared;
 use crate::ports::{Record, RecordChanges};
@@ -305,9 +305,9 @@
 
 /// Chooses between the store and relays, and polls the relays, until the process ends.
 ///
-/// The process that holds `duty` watches the store itself, because it must see the reports of
+/// The process that holds `lease` watches the store itself, because it must see the reports of
 /// others there without delay.
-pub async fn follow(engine: &Engine, duty: &Duty) {
+pub async fn follow(engine: &Engine, lease: &PromotionLease) {
     let mut dependency = DependencyMonitor::new("followers");
     let mut search = Search::default();
     discover_fleet(engine).await;
@@ -317,13 +317,13 @@
             sleep(ROUND_PAUSE).await;
             continue;
         }
-        let source = match duty.check() {
-            Some(_) => Source::Store,
-            None => engine.homes().source(&engine.settings().zone),
+        let source = match lease.check() {
+            Some(_) => StoreSource::Store,
+            None => engine.homes().store_source(&engine.settings().zone),
         };
         match source {
-            Source::Store => follow_store(engine, &mut search).await,
-            Source::Peers(peers) => {
+            StoreSource::Store => follow_store(engine, &mut search).await,
+            StoreSource::Peers(peers) => {
                 let learned = follow_peers(engine, &peers, &mut search).await;
                 dependency.record_outcome(engine.events(), learned.err());
             }
@@ -542,7 +542,7 @@
             written: updates.records,
             version: updates.records_version,
         };
-        engine.terms().take_changes(engine, &changes);
+        engine.terms().apply_changes(engine, &changes);
     }
 }
 
--- a/crates/engine/src/following/search.rs
+++ b/crates/engine/src/following/search.rs
@@ -155,11 +155,11 @@
 /// for their current data. Returns the link to the first that has recent updates.
 async fn ask_many(engine: &Engine, with_scouts: bool) -> Option<(Arc<Link>, Step)> {
     let homes = engine.homes();
-    let elsewhere = homes.followers_elsewhere(&engine.settings().zone);
+    let elsewhere = homes.followers_in_other_zones(&engine.settings().zone);
     let elsewhere = elsewhere
         .into_iter()
         .map(|address| (address, Step::Elsewhere));
-    let scouts = homes.draw_others(if with_scouts { SCOUTS } else { 0 });
+    let scouts = homes.random_peers(if with_scouts { SCOUTS } else { 0 });
     let scouts = scouts.into_iter().map(|address| (address, Step::Scout));
     let questions = elsewhere.chain(scouts).map(|(address, step)| async move {
         let link = homes.links().first_usable(&[address]).await?;
@@ -241,7 +241,7 @@
     let records_as_of = updates.records_complete_after_ms;
     apply_updates(engine, updates, asked);
     if let Some(at) = records_as_of.and_then(|ms| declared::moment_after(asked, ms)) {
-        engine.slow_starts().prove_records(at);
+        engine.slow_starts().advance_records_as_of(at);
     }
     let dated = age.and_then(|age| Some((age, asked.checked_sub(age)?)));
     let Some((age, at)) = dated else {
--- a/crates/engine/src/home/remote.rs
+++ b/crates/engine/src/home/remote.rs
@@ -1,6 +1,6 @@
-//! Connections to a member by way of its homes.
+//! Connections to a member through its homes.
 
-use super::placement::{CANDIDATES, Homes};
+use super::placement::{CANDIDATES_PER_MEMBER, Homes};
 use crate::directory::Member;
 use crate::link::Link;
 use crate::link::frame::{HomeCommand, HomeOutcome, NotSent, RunRequest, UnitId};
@@ -19,8 +19,8 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-/// Reaches one member through its homes in allowed regions; by itself, with few connections,
-/// while none of these can be reached.
+/// Back end that connects to a member through its homes in allowed regions, or directly with a few
+/// connections while no such home is reachable.
 #[derive(Debug)]
 pub struct RemoteBackEnd {
     homes: Arc<Homes>,
@@ -29,7 +29,7 @@
 }
 
 impl RemoteBackEnd {
-    /// By way of those `homes` that `residency` allows, or by `direct`.
+    /// Creates a back end that uses those `homes` that `residency` allows, and `direct` otherwise.
     pub fn new(homes: Arc<Homes>, direct: Arc<dyn BackEnd>, residency: Residency) -> Self {
         Self {
             homes,
@@ -46,7 +46,11 @@
         member: &Member,
         tenant: Option<&TenantName>,
     ) -> Result<Box<dyn BackEndConnection>, ConnectError> {
-        if let Some(link) = self.homes.choose(member, tenant, &self.residency).await {
+        if let Some(link) = self
+            .homes
+            .choose_link(member, tenant, &self.residency)
+            .await
+        {
             let connection = RemoteConnection::new(Arc::clone(&self.homes), link, member, tenant);
             return Ok(Box::new(connection));
         }
@@ -60,7 +64,7 @@
     }
 }
 
-/// One of the few connections of a process that reaches no home.
+/// One of the few direct connections of a process that can't reach any home.
 #[derive(Debug)]
 struct DirectConnection {
     connection: Box<dyn BackEndConnection>,
@@ -86,17 +90,18 @@
     }
 }
 
-/// What becomes of a command.
+/// How a command is processed.
 #[derive(Debug)]
 enum Plan {
-    /// It is answered here: no member is needed for it.
+    /// Answered locally, since it doesn't need the member.
     Answer(Answer),
-    /// A home is to run it.
+    /// Forwarded to a home.
     Forward(HomeCommand),
 }
 
-/// A connection that exists here only: what a session has set and prepared on it goes along
-/// with each command, and a home runs each unit on whichever connection is free.
+/// A virtual connection without a counterpart at the home. Session variables and prepared
+/// statements are sent along with each command, and the home runs each unit (a statement or a
+/// transaction) on any free connection.
 #[derive(Debug)]
 struct RemoteConnection {
     homes: Arc<Homes>,
@@ -106,7 +111,7 @@
     admission: Admission,
     values: BTreeMap<Bytes, Bytes>,
     prepared: HashMap<Bytes, PreparedStatement>,
-    /// The unit that is open at the home.
+    /// Unit that is open at the home.
     unit: Option<UnitId>,
     state: TransactionState,
 }
@@ -135,23 +140,23 @@
         self.link.get()
     }
 
-    /// Answers what needs no member; else what a home is to run.
+    /// Answers `command` locally if it doesn't need the member; otherwise converts it for a home.
     fn plan(&mut self, command: &Command) -> Plan {
         match command {
             Command::Set { name, value } => {
                 self.values.insert(name.clone(), value.clone());
-                Plan::Answer(self.done())
+                Plan::Answer(self.empty_answer())
             }
             Command::Prepare { name, prepared } => {
                 self.prepared.insert(name.clone(), prepared.clone());
-                Plan::Answer(self.done())
+                Plan::Answer(self.empty_answer())
             }
             Command::Reset => {
                 self.values.clear();
                 self.prepared.clear();
-                Plan::Answer(self.done())
+                Plan::Answer(self.empty_answer())
             }
-            Command::Rollback if self.unit.is_none() => Plan::Answer(self.done()),
+            Command::Rollback if self.unit.is_none() => Plan::Answer(self.empty_answer()),
             Command::Rollback => Plan::Forward(HomeCommand::Rollback),
             Command::Begin { read_only, after } => Plan::Forward(HomeCommand::Begin {
                 read_only: *read_only,
@@ -205,7 +210,7 @@
         }
     }
 
-    /// Has a command run at the home, in the unit that is open there or in one that begins.
+    /// Runs a command at the home, in the open unit or in a new one.
     async fn forward(
         &mut self,
         command: HomeCommand,
@@ -219,19 +224,24 @@
                 false => Err(BackEndConnectionError::Closed(ended.to_owned())),
             };
         };
-        // From here on a call that is dropped leaves the unit to be closed.
+        // Record the unit before waiting, so that it is closed if this future is dropped.
         self.unit = Some(unit);
         metrics::counter!("stilequay_home_forwarded_total").increment(1);
         let outcome = answer.await;
         outcome.map_err(|_| BackEndConnectionError::Closed("the link to the home ended".to_owned()))
     }
 
-    /// Leaves a home that runs nothing at the member; returns whether there is another.
-    async fn go_elsewhere(&mut self) -> bool {
+    /// Switches away from a home that can't run commands at the member. Returns whether another
+    /// home is available.
+    async fn switch_home(&mut self) -> bool {
         self.unit = None;
         self.link().deprioritize();
         let (tenant, residency) = (self.tenant.as_ref(), self.link.residency());
-        match self.homes.choose(&self.member, tenant, residency).await {
+        match self
+            .homes
+            .choose_link(&self.member, tenant, residency)
+            .await
+        {
             Some(link) if !Arc::ptr_eq(link.get(), self.link()) => {
                 self.link = link;
                 true
@@ -240,8 +250,8 @@
         }
     }
 
-    /// Takes what came of a command that was sent.
-    fn take(&mut self, outcome: HomeOutcome) -> Result<Answer, BackEndConnectionError> {
+    /// Updates the state of the connection from the outcome of a command.
+    fn apply(&mut self, outcome: HomeOutcome) -> Result<Answer, BackEndConnectionError> {
         match outcome {
             HomeOutcome::Answered(answer) => {
                 self.state = answer.state;
@@ -282,7 +292,7 @@
         }
     }
 
-    fn done(&self) -> Answer {
+    fn empty_answer(&self) -> Answer {
         Answer {
             rows: Vec::new(),
             outcome: Ok(Bytes::new()),
@@ -306,7 +316,7 @@
         };
         Answer {
             outcome: Err(refusal),
-            ..self.done()
+            ..self.empty_answer()
         }
     }
 }
@@ -320,22 +330,22 @@
         };
         if self.unit.is_some() {
             let outcome = self.forward(command).await?;
-            return self.take(outcome);
+            return self.apply(outcome);
         }
         let mut outcome = self.forward(command.clone()).await?;
-        // A home that has just started, or hears nothing of the store: the next one may know
-        // the member, and that it may be sent to.
-        for _ in 1..CANDIDATES {
+        // The home has just started or receives no updates from the store. The next one may know
+        // the member and be allowed to send to it.
+        for _ in 1..CANDIDATES_PER_MEMBER {
             let passed_on = matches!(
                 outcome,
                 HomeOutcome::NotSent(NotSent::UnknownMember | NotSent::MayNotSend(_))
             );
-            if !passed_on || !self.go_elsewhere().await {
+            if !passed_on || !self.switch_home().await {
                 break;
             }
             outcome = self.forward(command.clone()).await?;
         }
-        self.take(outcome)
+        self.apply(outcome)
     }
 
     async fn control(&mut self, _: Control) -> Result<MemberReport, BackEndConnectionError> {
--- a/crates/engine/src/leadership/promotion.rs
+++ b/crates/engine/src/leadership/promotion.rs
@@ -1,25 +1,25 @@
 //! One change of a group's leader, from the fence to the new leader's first write.
 //!
-//! Each phase is recorded in the store before the next begins, so that another holder of
-//! the lease can finish what one has begun:
+//! Each phase is recorded in the store before the next begins, so that another lease holder can
+//! complete a promotion that one has begun:
 //!
-//! 1. *Fencing* is recorded: every process gives the old leader no more writes.
-//! 2. All replicas are paused, and the old leader is demoted if it can be reached. With a
-//!    synchronous replica required, the old leader can't have a commit acknowledged then.
+//! 1. *Fencing* is recorded: processes send the old leader no more writes.
+//! 2. All replicas are paused, and the old leader is demoted if it can be reached. If commits
+//!    require a synchronous replica, the old leader can't have one acknowledged from then on.
 //! 3. The replica that holds every acknowledged commit is chosen: see [`super::choice`].
-//! 4. *Promoting* is recorded, with the target, and the order is given.
-//! 5. Once the target leads and the evidence for the old term has lapsed everywhere,
+//! 4. *Promoting* is recorded with the target, and the promotion is ordered.
+//! 5. Once the target is primary and the evidence for the old term has expired everywhere,
 //!    *active* is recorded: the target gets writes.
 //!
-//! A promotion that was begun is never taken back, but completed: a replica that was
-//! paused in vain would have to be resumed, and a late order to resume breaks a fence.
+//! A promotion that was begun is completed, never rolled back. A rollback would have to resume
+//! the paused replicas, and a resume command that arrives late breaks a later fence.
 
 use super::choice::{FenceSurvey, PreviousLeader, fencing_term};
-use super::duty::Duty;
 use super::follower::VersionedTerm;
+use super::promotion_lease::PromotionLease;
 use super::record::{TermPhase, TermRecord};
 use super::roster;
-use super::survey::{self, Patience, Response, Surveyed};
+use super::survey::{self, Response, StragglerPolicy, SurveyedMember};
 use crate::directory::{Member, Role};
 use crate::engine::Engine;
 use crate::group::{Epoch, TERM_LEASE, TERM_LEASE_MARGIN};
@@ -33,59 +33,59 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Time for which a leader that is to hand over finishes what it was sent.
-const FINISHING_TIME: Duration = Duration::from_millis(60);
-/// Pause before the members are asked again while the fence is not complete.
+/// Time in which the old leader completes the requests that it was sent before it is fenced.
+const DRAIN_TIME: Duration = Duration::from_millis(60);
+/// Pause between surveys while the fence is incomplete.
 const FENCE_PAUSE: Duration = Duration::from_millis(80);
-/// Pause between two questions whether the target leads already.
-const TARGET_PAUSE: Duration = Duration::from_millis(30);
-/// Time after which an order whose effect is not seen is given again.
-const ORDER_AGAIN: Duration = Duration::from_millis(900);
-/// Time after which a target that does not take the lead is given up.
+/// Interval at which the target is asked whether it is primary.
+const TARGET_POLL_INTERVAL: Duration = Duration::from_millis(30);
+/// Time after which an order that has shown no effect is sent again.
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(900);
+/// Time after which a target that has not become primary is given up.
 const TARGET_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Changes of leader of a group that one era of the store can count.
-const EPOCHS_OF_AN_ERA: Epoch = 1 << 32;
-/// Pause after the store gave no answer.
+/// Number of epochs reserved for each era of the store.
+const EPOCHS_PER_ERA: Epoch = 1 << 32;
+/// Pause after a failed store call.
 const STORE_PAUSE: Duration = Duration::from_millis(80);
 
 quick_error! {
-    /// A promotion was not completed by this process.
+    /// Why this process did not complete a promotion.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum PromotionError {
-        /// The lease is not held any more.
+        /// This process no longer holds the promotion lease.
         LeaseLost {
-            display("the lease is not held any more")
+            display("this process no longer holds the promotion lease")
         }
-        /// Another process has changed the record.
+        /// Another process has changed the term record.
         Superseded {
-            display("another process has changed the record")
+            display("another process has changed the term record")
         }
-        /// The target does not take the lead: another has to be chosen.
+        /// The target has not become primary: another one has to be chosen.
         TargetLost {
-            display("the target does not take the lead")
+            display("the target has not become primary")
         }
     }
 }
 
-/// What a promotion needs.
+/// A change of the leader of one group.
 #[derive(Debug, Clone)]
 pub struct Promotion {
-    /// The shared state.
+    /// State shared by the whole process.
     pub engine: Arc<Engine>,
-    /// Carries the order out.
+    /// Carries out promotion orders.
     pub promoter: Arc<dyn Promoter>,
-    /// The lease under which orders are given.
-    pub duty: Arc<Duty>,
+    /// The lease that allows this process to order promotions.
+    pub lease: Arc<PromotionLease>,
     /// The group.
     pub group: GroupName,
 }
 
 impl Promotion {
-    /// Changes the leader, or completes a change that was begun.
+    /// Replaces the leader, or completes a promotion that was begun.
     ///
     /// # Errors
     ///
-    /// [`PromotionError`] where another process has to go on, or this one anew.
+    /// [`PromotionError`] if another process has to continue, or this one has to start over.
     pub async fn run(&self) -> Result<(), PromotionError> {
         let known = self.engine.terms().known(&self.group);
         let term = match known {
@@ -104,12 +104,12 @@
         Ok(())
     }
 
-    /// Gives up the target of a promotion that was begun, and chooses again.
+    /// Gives up the target of a promotion that was begun, and fences and chooses again.
     ///
     /// # Errors
     ///
     /// As for [`Promotion::run`].
-    pub async fn choose_again(&self) -> Result<(), PromotionError> {
+    pub async fn retry_with_new_target(&self) -> Result<(), PromotionError> {
         let known = self.engine.terms().known(&self.group);
         self.begin(known).await?;
         self.run().await
@@ -131,43 +131,43 @@
         };
         let version = known.map_or(0, |term| term.version);
         let term = self.store(record, version).await?;
-        sleep(FINISHING_TIME).await;
+        sleep(DRAIN_TIME).await;
         self.fence(term).await
     }
 
-    /// Completes the fence and records the target.
+    /// Fences the members until a target can be chosen, and records it.
     async fn fence(&self, term: VersionedTerm) -> Result<VersionedTerm, PromotionError> {
         let previous = PreviousLeader {
             id: term.record.previous.clone(),
             address: term.record.previous_address,
         };
         let sync_replicas = self.engine.sync_replicas(&self.group);
-        self.recall_members().await?;
+        self.load_roster().await?;
         loop {
-            self.check_duty()?;
-            let asked = survey::survey(
+            self.check_lease()?;
+            let surveyed = survey::survey(
                 &self.engine,
                 &self.group,
                 |_| Control::Status,
-                Patience::ONE_LIKELY_LOST,
+                StragglerPolicy::SKIP_ONE_STRAGGLER,
             )
             .await;
-            let fencing = fencing_term(&asked);
-            self.check_duty()?;
-            let order_for = |member: &Member| match previous.is(member) {
+            let fencing = fencing_term(&surveyed);
+            self.check_lease()?;
+            let control_for = |member: &Member| match previous.matches(member) {
                 true => Control::Demote(fencing),
                 false => Control::Pause(fencing),
             };
-            let patience = Patience::ONE_LIKELY_LOST;
-            let fenced = survey::survey(&self.engine, &self.group, order_for, patience).await;
-            self.tell_fence(&term.record, &fenced);
+            let stragglers = StragglerPolicy::SKIP_ONE_STRAGGLER;
+            let fenced = survey::survey(&self.engine, &self.group, control_for, stragglers).await;
+            self.emit_fence(&term.record, &fenced);
             let evacuations = self.engine.evacuations();
             let survey = FenceSurvey {
                 members: &fenced,
                 previous: &previous,
                 term: fencing,
                 sync_replicas,
-                known: self.engine.group(&self.group).newest_known(),
+                known: self.engine.group(&self.group).newest_position(),
                 evacuations: &evacuations,
                 topology: &self.engine.settings().topology,
             };
@@ -175,47 +175,47 @@
                 Ok(target) => {
                     let chosen = TermRecord {
                         phase: TermPhase::Promoting,
-                        target_received: received_by(&target, &fenced),
+                        target_received: received_position(&target, &fenced),
                         target: Some(target),
                         ..term.record
                     };
                     return self.advance(chosen, term.version).await;
                 }
-                Err(obstacle) => self.tell_obstacle(&term.record, &obstacle),
+                Err(obstacle) => self.emit_obstacle(&term.record, &obstacle),
             }
             sleep(FENCE_PAUSE).await;
         }
     }
 
-    /// Learns of members whose entries have gone: this process may be younger than that.
-    async fn recall_members(&self) -> Result<(), PromotionError> {
-        while roster::recall(&self.engine, &self.group).await.is_err() {
-            self.check_duty()?;
+    /// Loads the recorded members: entries may have gone before this process started.
+    async fn load_roster(&self) -> Result<(), PromotionError> {
+        while roster::load(&self.engine, &self.group).await.is_err() {
+            self.check_lease()?;
             sleep(STORE_PAUSE).await;
         }
         Ok(())
     }
 
-    /// Orders the promotion until the target leads.
+    /// Orders the promotion, repeatedly if needed, until the target is primary.
     async fn promote(&self, record: &TermRecord) -> Result<(), PromotionError> {
         let Some(target) = record.target.clone() else {
             return Err(PromotionError::TargetLost);
         };
         let began = Instant::now();
-        let mut ordered: Option<Instant> = None;
+        let mut last_order: Option<Instant> = None;
         while began.elapsed() < TARGET_TIMEOUT {
-            if ordered.is_none_or(|at| at.elapsed() > ORDER_AGAIN) {
-                if self.has_started_again(record, &target).await {
+            if last_order.is_none_or(|at| at.elapsed() > ORDER_RETRY_INTERVAL) {
+                if self.has_restarted(record, &target).await {
                     return Err(PromotionError::TargetLost);
                 }
-                match self.order(record, &target).await? {
-                    Ok(()) | Err(PromoteError::Unknown(_)) => ordered = Some(Instant::now()),
+                match self.send_promote_order(record, &target).await? {
+                    Ok(()) | Err(PromoteError::Unknown(_)) => last_order = Some(Instant::now()),
                     Err(PromoteError::TargetDown) => return Err(PromotionError::TargetLost),
                     Err(_) => {}
                 }
             }
-            sleep(TARGET_PAUSE).await;
-            if self.leads(&target).await {
+            sleep(TARGET_POLL_INTERVAL).await;
+            if self.is_primary(&target).await {
                 self.settle_others(&target);
                 return Ok(());
             }
@@ -223,13 +223,13 @@
         Err(PromotionError::TargetLost)
     }
 
-    /// Gives the order once, with the lease checked directly before.
-    async fn order(
+    /// Sends the order once, directly after checking the lease.
+    async fn send_promote_order(
         &self,
         record: &TermRecord,
         target: &MemberId,
     ) -> Result<Result<(), PromoteError>, PromotionError> {
-        let fencing = self.duty.check().ok_or(PromotionError::LeaseLost)?;
+        let fencing = self.lease.check().ok_or(PromotionError::LeaseLost)?;
         let order = PromotionOrder {
             group: self.group.clone(),
             target: target.clone(),
@@ -241,25 +241,25 @@
             Ok(()) => "accepted".to_owned(),
             Err(error) => error.to_string(),
         };
-        self.tell(record, "order", Some(target.clone()), None, text);
+        self.emit_step(record, "order", Some(target.clone()), None, text);
         Ok(result)
     }
 
-    async fn leads(&self, target: &MemberId) -> bool {
-        let response = self.ask(target).await;
+    async fn is_primary(&self, target: &MemberId) -> bool {
+        let response = self.request_status(target).await;
         let report = response.as_ref().and_then(Response::report);
         report.is_some_and(|report| report.role == Role::Primary)
     }
 
-    /// Whether the target has started since it was paused, and may have nothing of what it was
-    /// chosen for. An order names a server, not its life: an empty one would take the lead, and
-    /// have the others drop what they hold.
-    async fn has_started_again(&self, record: &TermRecord, target: &MemberId) -> bool {
-        // The old leader was demoted in place of being paused.
+    /// Whether the target has restarted since it was paused and may have lost the log that it was
+    /// chosen for. An order names a server, not an incarnation of it: an empty server would become
+    /// primary and make the other members discard their logs.
+    async fn has_restarted(&self, record: &TermRecord, target: &MemberId) -> bool {
+        // The old leader was demoted instead of being paused.
         let was_paused = record.previous.as_ref() != Some(target)
             && record.previous_address != record.target_address;
-        match self.ask(target).await {
-            Some(Response::Ended) => true,
+        match self.request_status(target).await {
+            Some(Response::RestartedEmpty) => true,
             Some(Response::Report(report)) => {
                 was_paused && report.role == Role::Replica && report.paused_for == 0
             }
@@ -267,13 +267,13 @@
         }
     }
 
-    async fn ask(&self, target: &MemberId) -> Option<Response> {
+    async fn request_status(&self, target: &MemberId) -> Option<Response> {
         let directory = self.engine.directory();
         let member = directory.member(target)?;
-        Some(survey::order(&self.engine, member, Control::Status).await)
+        Some(survey::send_control(&self.engine, member, Control::Status).await)
     }
 
-    /// Records the next step over the one of version `expected`.
+    /// Writes `record` over the term record of version `expected`.
     async fn advance(
         &self,
         record: TermRecord,
@@ -294,7 +294,7 @@
             .map(|known| known.address)
     }
 
-    /// Writes the record, whatever the store makes of single calls, while the lease lasts.
+    /// Writes the record, retrying failed store calls for as long as the lease is held.
     async fn store(
         &self,
         record: TermRecord,
@@ -303,7 +303,7 @@
         let key = TermRecord::key(&self.group);
         let value = record.encode();
         loop {
-            self.check_duty()?;
+            self.check_lease()?;
             let begun = Instant::now();
             let put = self
                 .engine
@@ -312,12 +312,12 @@
                 .put_if(&key, expected, value.clone());
             let stored = match put.await {
                 Ok(PutOutcome::Stored(version)) => Some(version),
-                Ok(PutOutcome::Conflict) => Some(self.find_own(&record).await?),
-                Err(RecordStoreError::Unknown(_)) => self.find_own(&record).await.ok(),
+                Ok(PutOutcome::Conflict) => Some(self.find_own_write(&record).await?),
+                Err(RecordStoreError::Unknown(_)) => self.find_own_write(&record).await.ok(),
                 Err(_) => None,
             };
             if let Some(version) = stored {
-                self.tell(
+                self.emit_step(
                     &record,
                     "recorded",
                     record.target.clone(),
@@ -334,9 +334,9 @@
         }
     }
 
-    /// The version of `record`, if that is what the store has: an earlier write whose
-    /// answer was lost may have been done.
-    async fn find_own(&self, record: &TermRecord) -> Result<StoreVersion, PromotionError> {
+    /// The version of `record`, if the store holds it: an earlier write may have succeeded
+    /// although its answer was lost.
+    async fn find_own_write(&self, record: &TermRecord) -> Result<StoreVersion, PromotionError> {
         let key = TermRecord::key(&self.group);
         let changes = self.engine.terms().store().read(&key).await;
         let changes = changes.map_err(|_| PromotionError::Superseded)?;
@@ -346,22 +346,22 @@
             .ok_or(PromotionError::Superseded)
     }
 
-    pub(super) fn check_duty(&self) -> Result<(), PromotionError> {
-        let held = self.duty.check();
+    pub(super) fn check_lease(&self) -> Result<(), PromotionError> {
+        let held = self.lease.check();
         held.map(|_| ()).ok_or(PromotionError::LeaseLost)
     }
 }
 
-/// How far `target` has received the log, as it told when the members were fenced.
-fn received_by(target: &MemberId, fenced: &[Surveyed]) -> Option<LogPosition> {
+/// The log position that `target` reported as received when the members were fenced.
+fn received_position(target: &MemberId, fenced: &[SurveyedMember]) -> Option<LogPosition> {
     let chosen = fenced.iter().find(|known| known.member.id == *target)?;
     Some(chosen.response.report()?.received)
 }
 
-/// The number of the leadership after `known`, where the records are known as of `version`.
-/// That of an era of the store is greater than all of earlier eras: one that the store has lost
-/// is not given to another leader.
+/// The epoch after `known`, where the records are known as of `version`. Epochs of one era of the
+/// store are greater than those of all earlier eras, so an epoch whose record the store has lost
+/// is never given to another leader.
 fn next_epoch(known: Option<&VersionedTerm>, version: StoreVersion) -> Epoch {
-    let before = known.map_or(0, |term| term.record.epoch);
-    (before + 1).max(era_of(version).saturating_mul(EPOCHS_OF_AN_ERA))
+    let previous_epoch = known.map_or(0, |term| term.record.epoch);
+    (previous_epoch + 1).max(era_of(version).saturating_mul(EPOCHS_PER_ERA))
 }
--- a/crates/engine/src/leadership/telling.rs
+++ b/crates/engine/src/leadership/step_events.rs
@@ -1,26 +1,26 @@
-//! The events of a promotion: one for each step.
+//! Events written for the steps of a promotion.
 
 use super::choice::Obstacle;
 use super::promotion::Promotion;
 use super::record::TermRecord;
-use super::survey::{Response, Surveyed};
+use super::survey::{Response, SurveyedMember};
 use crate::events::Event;
 use crate::names::MemberId;
 use crate::ports::MemberReport;
 
 impl Promotion {
-    pub(super) fn tell_fence(&self, record: &TermRecord, members: &[Surveyed]) {
+    pub(super) fn emit_fence(&self, record: &TermRecord, members: &[SurveyedMember]) {
         for surveyed in members {
             let id = &surveyed.member.id;
-            self.tell_response(record, "fence", id, &surveyed.response);
+            self.emit_response(record, "fence", id, &surveyed.response);
         }
     }
 
-    pub(super) fn tell_obstacle(&self, record: &TermRecord, obstacle: &Obstacle) {
-        self.tell(record, "choose", None, None, format!("{obstacle:?}"));
+    pub(super) fn emit_obstacle(&self, record: &TermRecord, obstacle: &Obstacle) {
+        self.emit_step(record, "choose", None, None, format!("{obstacle:?}"));
     }
 
-    pub(super) fn tell_response(
+    pub(super) fn emit_response(
         &self,
         record: &TermRecord,
         step: &'static str,
@@ -31,14 +31,14 @@
             Response::Report(_) => String::new(),
             Response::Down(reason) => format!("down: {reason}"),
             Response::Declined(reason) => format!("declined: {reason}"),
-            Response::Ended => "started again".to_owned(),
+            Response::RestartedEmpty => "restarted without its log".to_owned(),
             Response::Silent(reason) => format!("silent: {reason}"),
         };
         let report = response.report().copied();
-        self.tell(record, step, Some(member.clone()), report, text);
+        self.emit_step(record, step, Some(member.clone()), report, text);
     }
 
-    pub(super) fn tell(
+    pub(super) fn emit_step(
         &self,
         record: &TermRecord,
         step: &'static str,
--- a/crates/engine/src/link/client.rs
+++ b/crates/engine/src/link/client.rs
@@ -6,7 +6,7 @@
 };
 use crate::names::{GroupName, TenantName};
 use crate::ports::{GroupSnapshot, PeerLink};
-use crate::rate::counter::{Draw, Shard};
+use crate::rate::counter::{PermitReply, Shard};
 use crate::version::StoreVersion;
 use bytes::Bytes;
 use std::collections::HashMap;
@@ -43,7 +43,7 @@
     Run(oneshot::Sender<HomeOutcome>),
     Ask(oneshot::Sender<Vec<GroupSnapshot>>),
     Follow(oneshot::Sender<StoreUpdates>),
-    Draw(oneshot::Sender<Draw>),
+    Draw(oneshot::Sender<PermitReply>),
     NewestTerm(oneshot::Sender<Option<StoreVersion>>),
 }
 
@@ -298,7 +298,7 @@
         shard: Shard,
         tenant: &TenantName,
         takes: bool,
-    ) -> Option<Draw> {
+    ) -> Option<PermitReply> {
         let (tx, rx) = oneshot::channel();
         let exchange = self.register(ReplySender::Draw(tx));
         let question = ToHome::Draw {
--- a/crates/engine/src/link/frame.rs
+++ b/crates/engine/src/link/frame.rs
@@ -4,7 +4,7 @@
 use crate::names::{DatabaseName, GroupName, MemberId, RequestId, TenantName};
 use crate::ports::{Answer, DeclaredState, DeclaredVersions, GroupSnapshot, Record};
 use crate::position::LogPosition;
-use crate::rate::counter::{Draw, Shard};
+use crate::rate::counter::{PermitReply, Shard};
 use crate::statement::{Access, PreparedStatement};
 use crate::version::StoreVersion;
 use bytes::Bytes;
@@ -236,7 +236,7 @@
         /// The request.
         exchange: ExchangeId,
         /// Whether the permit was granted, and if not, why.
-        drawn: Draw,
+        drawn: PermitReply,
     },
     /// The version of the newest term record, as known by the holder of the promotion lease.
     NewestTerm {
--- a/crates/engine/src/session/transaction/mod.rs
+++ b/crates/engine/src/session/transaction/mod.rs
@@ -2,7 +2,7 @@
 
 mod opening;
 
-use super::limits::{RETRY_PAUSE, StatementLimits};
+use super::limits::{RETRY_PAUSE, StatementDeadlines};
 use super::trace::RequestTrace;
 use super::write::{Awaited, await_answer, await_in_time, member_failure, refusal_text};
 use super::{Completion, Session};
@@ -10,7 +10,7 @@
 use crate::engine::Engine;
 use crate::group::{Group, UsableLeader};
 use crate::names::{RequestId, TenantName};
-use crate::pool::{PooledConnection, RunError, SessionValues, Work};
+use crate::pool::{PooledConnection, RunError, SessionStatement, SessionValues};
 use crate::ports::{Answer, Command, Refusal, RefusalKind};
 use crate::residency::Residency;
 use crate::session::target::is_still_allowed;
@@ -26,7 +26,7 @@
     group: Arc<Group>,
     read_only: bool,
     began: Instant,
-    rests_since: Instant,
+    idle_since: Instant,
     stage: Stage,
     /// On whose behalf it was opened at its member.
     tenant: Option<TenantName>,
@@ -40,7 +40,7 @@
     /// It is open at a member.
     Open(OpenTransaction),
     /// It was ended, and the caller has not been told yet.
-    Ended(Failure),
+    Aborted(Failure),
     /// It has failed, and the caller knows.
     Failed,
 }
@@ -70,12 +70,12 @@
     }
 
     /// Whether it is open on behalf of another than `tenant`.
-    pub(super) fn is_of_another(&self, tenant: Option<&TenantName>) -> bool {
+    pub(super) fn belongs_to_other_tenant(&self, tenant: Option<&TenantName>) -> bool {
         matches!(self.stage, Stage::Open(_)) && self.tenant.as_ref() != tenant
     }
 
     /// Whether it may stay where it is open, if `residency` are the regions that bind.
-    pub(super) fn is_allowed(&self, engine: &Engine, residency: &Residency) -> bool {
+    pub(super) fn may_continue(&self, engine: &Engine, residency: &Residency) -> bool {
         let Stage::Open(open) = &self.stage else {
             return true;
         };
@@ -83,27 +83,27 @@
     }
 
     /// Since when it has been resting, unless it has ended.
-    pub(super) fn rests_since(&self) -> Option<Instant> {
+    pub(super) fn idle_since(&self) -> Option<Instant> {
         match self.stage {
-            Stage::Pending | Stage::Open(_) => Some(self.rests_since),
-            Stage::Ended(_) | Stage::Failed => None,
+            Stage::Pending | Stage::Open(_) => Some(self.idle_since),
+            Stage::Aborted(_) | Stage::Failed => None,
         }
     }
 
     /// Ends it; the caller is told `failure` at its next statement.
     pub(super) fn fail(&mut self, failure: Failure) {
-        if let Stage::Open(open) = std::mem::replace(&mut self.stage, Stage::Ended(failure)) {
+        if let Stage::Open(open) = std::mem::replace(&mut self.stage, Stage::Aborted(failure)) {
             open.connection.roll_back();
         }
     }
 
     /// Puts changed session values in place where it is open.
-    pub(super) async fn put_values(&mut self, values: &SessionValues) -> Result<(), Failure> {
+    pub(super) async fn apply_values(&mut self, values: &SessionValues) -> Result<(), Failure> {
         let Stage::Open(open) = &mut self.stage else {
             return Ok(());
         };
         let until = Instant::now() + self.route.timeout;
-        match timeout_at(until, open.connection.put_values(values)).await {
+        match timeout_at(until, open.connection.apply_values(values)).await {
             Ok(Ok(())) => Ok(()),
             _ => {
                 self.stage = Stage::Failed;
@@ -130,7 +130,7 @@
             group,
             read_only,
             began: received,
-            rests_since: Instant::now(),
+            idle_since: Instant::now(),
             stage: Stage::Pending,
             tenant: None,
         });
@@ -142,32 +142,32 @@
         &mut self,
         request: &Request,
         access: Access,
-        work: Work,
+        work: SessionStatement,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let Some(mut transaction) = self.transaction.take() else {
             return Err(Failure::rejected(FailureReason::OutOfPlace));
         };
-        trace.routed(&self.engine, &transaction.route);
+        trace.set_route(&self.engine, &transaction.route);
         let stage = std::mem::replace(&mut transaction.stage, Stage::Failed);
         let outcome = match stage {
             Stage::Failed => Err(Failure::rejected(FailureReason::OutOfPlace)),
-            Stage::Ended(failure) => Err(failure),
+            Stage::Aborted(failure) => Err(failure),
             Stage::Pending => {
-                self.open_with(&mut transaction, request, access, Some(work), trace)
+                self.open_transaction(&mut transaction, request, access, Some(work), trace)
                     .await
             }
             Stage::Open(open) => {
-                run_at_place(&mut transaction, open, request, access, &work, trace).await
+                run_in_open(&mut transaction, open, request, access, &work, trace).await
             }
         };
-        transaction.rests_since = Instant::now();
+        transaction.idle_since = Instant::now();
         self.transaction = Some(transaction);
         outcome
     }
 
     /// Commits or rolls back.
-    pub(super) async fn end(
+    pub(super) async fn finish_transaction(
         &mut self,
         request: &Request,
         commit: bool,
@@ -176,10 +176,10 @@
         let Some(mut transaction) = self.transaction.take() else {
             return Err(Failure::rejected(FailureReason::OutOfPlace));
         };
-        trace.routed(&self.engine, &transaction.route);
+        trace.set_route(&self.engine, &transaction.route);
         let mut stage = std::mem::replace(&mut transaction.stage, Stage::Failed);
         if commit && matches!(stage, Stage::Pending) {
-            self.open_with(&mut transaction, request, Access::Read, None, trace)
+            self.open_transaction(&mut transaction, request, Access::Read, None, trace)
                 .await?;
             stage = std::mem::replace(&mut transaction.stage, Stage::Failed);
         }
@@ -189,7 +189,7 @@
                 open.connection.roll_back();
                 Ok(Completion::default())
             }
-            (Stage::Ended(failure), true) => Err(failure),
+            (Stage::Aborted(failure), true) => Err(failure),
             (_, true) => Err(Failure::not_run(FailureReason::TransactionLost)),
             (_, false) => Ok(Completion::default()),
         }
@@ -202,40 +202,40 @@
         mut open: OpenTransaction,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
-        let limits = StatementLimits::new(&transaction.route, request.received);
+        let deadlines = StatementDeadlines::new(&transaction.route, request.received);
         let member = open.connection.pool().member().id.clone();
         if open.wrote && transaction.group.commits_stalled() {
             open.connection.roll_back();
             return Err(Failure::not_run(FailureReason::NoReplica));
         }
         if let Err(reason) = open.connection.pool().check_sending() {
-            trace.attempted(&member, reason.to_string());
+            trace.record_attempt(&member, reason.to_string());
             return Err(Failure::not_run(FailureReason::TransactionLost));
         }
         let sent = Instant::now();
         if open.wrote && !open.connection.pool().is_remote() {
             transaction.group.record_commit_sent(sent);
         }
-        let awaited = run_commit(transaction, &mut open, &request.id, limits).await;
-        let lost = |reason: FailureReason| match open.wrote {
+        let awaited = run_commit(transaction, &mut open, &request.id, deadlines).await;
+        let commit_failure = |reason: FailureReason| match open.wrote {
             true => Failure::may_have_run(reason),
             false => Failure::not_run(FailureReason::TransactionLost),
         };
         let answer = awaited
-            .told(open.connection.pool(), sent, trace)
-            .map_err(|missing| lost(missing.reason()))?;
+            .into_answer(open.connection.pool(), sent, trace)
+            .map_err(|missing| commit_failure(missing.reason()))?;
         let signature = match answer.outcome {
             Ok(signature) => signature,
             Err(refusal) => {
-                trace.attempted(&member, refusal_text(&refusal));
+                trace.record_attempt(&member, refusal_text(&refusal));
                 let failure = commit_refused(refusal, open.wrote);
                 super::write::release(open.connection, answer.state);
                 return Err(failure);
             }
         };
-        trace.attempted(&member, "committed");
+        trace.record_attempt(&member, "committed");
         if let (true, Some(leader)) = (open.wrote, &open.leader) {
-            self.note_commit(&transaction.group, leader, sent, &answer.position);
+            self.record_commit(&transaction.group, leader, sent, &answer.position);
         }
         Ok(Completion {
             rows: answer.rows,
@@ -245,26 +245,26 @@
 }
 
 /// Runs a later statement of an open transaction.
-async fn run_at_place(
+async fn run_in_open(
     transaction: &mut Transaction,
     mut open: OpenTransaction,
     request: &Request,
     access: Access,
-    work: &Work,
+    work: &SessionStatement,
     trace: &mut RequestTrace,
 ) -> Result<Completion, Failure> {
-    let limits = StatementLimits::new(&transaction.route, request.received);
+    let deadlines = StatementDeadlines::new(&transaction.route, request.received);
     let member = open.connection.pool().member().id.clone();
     loop {
         let sent = Instant::now();
-        let running = open.connection.run_work(&request.id, work, None);
-        let answer = await_in_time(running, limits.answer)
+        let running = open.connection.run_statement(&request.id, work, None);
+        let answer = await_in_time(running, deadlines.answer)
             .await
-            .told(open.connection.pool(), sent, trace)
+            .into_answer(open.connection.pool(), sent, trace)
             .map_err(|_| Failure::not_run(FailureReason::TransactionLost))?;
         match answer.outcome {
             Ok(signature) => {
-                trace.attempted(&member, "completed");
+                trace.record_attempt(&member, "completed");
                 open.wrote |= access == Access::Write;
                 transaction.stage = Stage::Open(open);
                 return Ok(Completion {
@@ -273,9 +273,9 @@
                 });
             }
             Err(refusal) => {
-                trace.attempted(&member, refusal_text(&refusal));
+                trace.record_attempt(&member, refusal_text(&refusal));
                 let still_open = answer.state == TransactionState::Open;
-                let time_left = Instant::now() + RETRY_PAUSE < limits.offer;
+                let time_left = Instant::now() + RETRY_PAUSE < deadlines.acquire;
                 if !(still_open && time_left && refusal.kind == RefusalKind::Busy) {
                     open.connection.roll_back();
                     return Err(statement_refused(refusal));
@@ -291,16 +291,16 @@
     transaction: &Transaction,
     open: &mut OpenTransaction,
     id: &RequestId,
-    limits: StatementLimits,
+    deadlines: StatementDeadlines,
 ) -> Awaited<Result<Answer, RunError>> {
     let commit = Command::Commit { id: id.clone() };
     let leader = open.leader.clone().filter(|_| open.wrote);
     let connection = &mut open.connection;
     let running = async {
         loop {
-            let answer = connection.run(&commit).await.map_err(RunError::After)?;
+            let answer = connection.run(&commit).await.map_err(RunError::AfterSend)?;
             let busy = matches!(&answer.outcome, Err(r) if r.kind == RefusalKind::Busy);
-            let time_left = Instant::now() + RETRY_PAUSE < limits.offer;
+            let time_left = Instant::now() + RETRY_PAUSE < deadlines.acquire;
             if !(busy && time_left && answer.state == TransactionState::Open) {
                 return Ok(answer);
             }
@@ -308,8 +308,8 @@
         }
     };
     match leader {
-        Some(leader) => await_answer(running, &transaction.group, &leader, limits.answer).await,
-        None => await_in_time(running, limits.answer).await,
+        Some(leader) => await_answer(running, &transaction.group, &leader, deadlines.answer).await,
+        None => await_in_time(running, deadlines.answer).await,
     }
 }
 
--- a/crates/engine/src/session/transaction/opening.rs
+++ b/crates/engine/src/session/transaction/opening.rs
@@ -4,16 +4,16 @@
 use crate::configuration::Consistency;
 use crate::group::UsableLeader;
 use crate::leadership::access;
-use crate::pool::{Claim, PooledConnection, RunError, Work};
+use crate::pool::{AcquireRequest, PooledConnection, RunError, SessionStatement};
 use crate::ports::{Command, RefusalKind};
 use crate::session::evacuated::check_route;
-use crate::session::limits::StatementLimits;
-use crate::session::offer::{Offer, first_connection, why_declined};
-use crate::session::read::{is_shorter, note_position, note_refusal};
+use crate::session::limits::StatementDeadlines;
+use crate::session::offer::{AcquiredConnection, acquire_failure_reason, acquire_first};
+use crate::session::read::{has_log_regressed, record_position, record_refusal};
 use crate::session::target::{Target, check_leader_region, leader_target};
 use crate::session::trace::RequestTrace;
 use crate::session::write::{
-    Attempt, Unanswered, await_in_time, judge_refusal, pause_or_refuse, refusal_text, release,
+    Attempt, Unanswered, await_in_time, pause_before_retry, refusal_outcome, refusal_text, release,
 };
 use crate::session::{Completion, Session};
 use crate::statement::{Access, Request};
@@ -22,14 +22,14 @@
 
 /// Members where a transaction may be opened, the best first.
 #[derive(Default)]
-struct Places {
+struct OpenCandidates {
     targets: Vec<Target>,
     /// The leader, where only it will do.
     leader: Option<UsableLeader>,
 }
 
 /// A member chosen for a transaction, and the connection to it.
-struct Place {
+struct ChosenMember {
     target: Target,
     leader: Option<UsableLeader>,
     connection: PooledConnection,
@@ -38,16 +38,16 @@
 impl Session {
     /// Opens the transaction at a member and runs its first statement there. Until that
     /// has completed nothing can be kept, so another member may be tried.
-    pub(super) async fn open_with(
+    pub(super) async fn open_transaction(
         &self,
         transaction: &mut Transaction,
         request: &Request,
         access: Access,
-        work: Option<Work>,
+        work: Option<SessionStatement>,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
-        let limits = self.limits(&transaction.route, &transaction.group, request.received);
-        let claim = self.claim(&transaction.route);
+        let deadlines = self.deadlines(&transaction.route, &transaction.group, request.received);
+        let acquire_request = self.acquire_request(&transaction.route);
         let mut permit = None;
         loop {
             let consistency = match transaction.read_only {
@@ -56,37 +56,38 @@
             };
             let residency = self.residency(&transaction.route);
             check_route(&self.engine, &transaction.group, consistency, &residency)?;
-            let mut places = self.places(transaction, limits, trace).await?;
+            let mut candidates = self.open_candidates(transaction, deadlines, trace).await?;
             let mut reason = FailureReason::NoLeader;
-            while !places.targets.is_empty() && Instant::now() < limits.offer {
-                let drawn = self.permit(permit, limits).await?;
+            while !candidates.targets.is_empty() && Instant::now() < deadlines.acquire {
+                let drawn = self.permit(permit, deadlines).await?;
                 permit = Some(drawn);
-                let until = limits.under(drawn).offer;
-                let offered = first_connection(&self.engine, &places.targets, &claim, until);
-                let Offer { index, connection } = match offered.await {
+                let until = deadlines.within_permit(drawn).acquire;
+                let acquiring =
+                    acquire_first(&self.engine, &candidates.targets, &acquire_request, until);
+                let AcquiredConnection { index, connection } = match acquiring.await {
                     Ok(offer) => offer,
-                    Err(declined) => {
-                        reason = why_declined(&declined, FailureReason::NoLeader, trace)?;
+                    Err(failures) => {
+                        reason = acquire_failure_reason(&failures, FailureReason::NoLeader, trace)?;
                         break;
                     }
                 };
-                let place = Place {
-                    target: places.targets.remove(index),
-                    leader: places.leader.clone(),
+                let chosen = ChosenMember {
+                    target: candidates.targets.remove(index),
+                    leader: candidates.leader.clone(),
                     connection,
                 };
                 let first = FirstStatement {
                     request,
                     access,
                     work: work.as_ref(),
-                    limits,
+                    deadlines,
                 };
-                match open_at(transaction, place, &claim, first, trace).await {
+                match open_on_member(transaction, chosen, &acquire_request, first, trace).await {
                     Attempt::Decided(outcome) => return outcome,
                     Attempt::NotRun(latest) => reason = latest,
                 }
             }
-            pause_or_refuse(limits, reason).await?;
+            pause_before_retry(deadlines, reason).await?;
         }
     }
 
@@ -95,27 +96,27 @@
     /// # Errors
     ///
     /// [`Failure`] where those that could stand in no home region.
-    async fn places(
+    async fn open_candidates(
         &self,
         transaction: &Transaction,
-        limits: StatementLimits,
+        deadlines: StatementDeadlines,
         trace: &mut RequestTrace,
-    ) -> Result<Places, Failure> {
+    ) -> Result<OpenCandidates, Failure> {
         let (route, group) = (&transaction.route, &transaction.group);
         if transaction.read_only {
             let targets = self
-                .read_targets(group, route, transaction.began, limits.offer, trace)
+                .read_targets(group, route, transaction.began, deadlines.acquire, trace)
                 .await?;
-            return Ok(Places {
+            return Ok(OpenCandidates {
                 targets,
                 leader: None,
             });
         }
         let residency = self.residency(route);
         check_leader_region(&self.engine, group, &residency)?;
-        let until = limits.offer;
+        let until = deadlines.acquire;
         let Some(writable) = access::writable_leader(group, until).await else {
-            return Ok(Places::default());
+            return Ok(OpenCandidates::default());
         };
         let leased = access::leased_leader(&self.engine, group, route.max_staleness, until).await;
         let leader = leased.filter(|leader| *leader == writable);
@@ -123,7 +124,7 @@
             Some(leader) => leader_target(&self.engine, leader, &residency)?,
             None => None,
         };
-        Ok(Places {
+        Ok(OpenCandidates {
             targets: target.into_iter().collect(),
             leader,
         })
@@ -135,23 +136,23 @@
     request: &'a Request,
     access: Access,
     /// None where there is nothing to run before the commit.
-    work: Option<&'a Work>,
-    limits: StatementLimits,
+    work: Option<&'a SessionStatement>,
+    deadlines: StatementDeadlines,
 }
 
 /// Opens the transaction at a member and runs its first statement there.
-async fn open_at(
+async fn open_on_member(
     transaction: &mut Transaction,
-    place: Place,
-    claim: &Claim,
+    chosen: ChosenMember,
+    acquire_request: &AcquireRequest,
     first: FirstStatement<'_>,
     trace: &mut RequestTrace,
 ) -> Attempt<Completion> {
-    let Place {
+    let ChosenMember {
         target,
         leader,
         mut connection,
-    } = place;
+    } = chosen;
     let pool = target.pool();
     let member = pool.member().id.clone();
     let begin = Command::Begin {
@@ -160,38 +161,38 @@
     };
     let known = transaction.group.as_leader(&member);
     let reached = known.as_ref();
-    let reached = reached.and_then(|leader| transaction.group.reached_by(leader));
+    let reached = reached.and_then(|leader| transaction.group.known_position(leader));
     let sent = Instant::now();
     let opening = async {
-        let put = connection.put_values(&claim.values).await;
-        put.map_err(RunError::Before)?;
-        connection.run(&begin).await.map_err(RunError::Before)
+        let applied = connection.apply_values(&acquire_request.values).await;
+        applied.map_err(RunError::BeforeSend)?;
+        connection.run(&begin).await.map_err(RunError::BeforeSend)
     };
-    let awaited = await_in_time(opening, first.limits.offer).await;
-    let answer = match awaited.told(pool, sent, trace) {
+    let awaited = await_in_time(opening, first.deadlines.acquire).await;
+    let answer = match awaited.into_answer(pool, sent, trace) {
         Ok(answer) => answer,
         Err(missing) => return Attempt::NotRun(missing.reason()),
     };
-    if is_shorter(&answer, reached) {
-        trace.attempted(&member, "its log is shorter than it was");
+    if has_log_regressed(&answer, reached) {
+        trace.record_attempt(&member, "its log is shorter than it was");
         connection.roll_back();
         return Attempt::NotRun(FailureReason::NoFreshMember);
     }
-    note_position(&transaction.group, known.as_ref(), sent, &answer);
+    record_position(&transaction.group, known.as_ref(), sent, &answer);
     if let Err(refusal) = answer.outcome {
-        trace.attempted(&member, refusal_text(&refusal));
-        note_refusal(pool, &refusal, target.after);
+        trace.record_attempt(&member, refusal_text(&refusal));
+        record_refusal(pool, &refusal, target.after);
         release(connection, answer.state);
         if transaction.read_only && matches!(refusal.kind, RefusalKind::SlowStart(_)) {
             // Another member may take it.
             return Attempt::NotRun(FailureReason::Overloaded);
         }
-        return judge_refusal(refusal);
+        return refusal_outcome(refusal);
     }
     if let Some(leader) = &leader {
         transaction.group.confirm_leader(leader);
     }
-    transaction.tenant = claim.tenant.clone();
+    transaction.tenant = acquire_request.tenant.clone();
     let open = OpenTransaction {
         connection,
         leader,
@@ -202,22 +203,22 @@
         transaction.stage = Stage::Open(open);
         return Attempt::Decided(Ok(Completion::default()));
     };
-    first_statement(transaction, open, work, &first, trace).await
+    run_first_statement(transaction, open, work, &first, trace).await
 }
 
 /// Runs the first statement of a transaction that has just been opened.
-async fn first_statement(
+async fn run_first_statement(
     transaction: &mut Transaction,
     mut open: OpenTransaction,
-    work: &Work,
+    work: &SessionStatement,
     first: &FirstStatement<'_>,
     trace: &mut RequestTrace,
 ) -> Attempt<Completion> {
     let member = open.connection.pool().member().id.clone();
     let sent = Instant::now();
-    let running = open.connection.run_work(&first.request.id, work, None);
-    let awaited = await_in_time(running, first.limits.answer).await;
-    let answer = match awaited.told(open.connection.pool(), sent, trace) {
+    let running = open.connection.run_statement(&first.request.id, work, None);
+    let awaited = await_in_time(running, first.deadlines.answer).await;
+    let answer = match awaited.into_answer(open.connection.pool(), sent, trace) {
         Ok(answer) => answer,
         Err(Unanswered::TimedOut) => {
             return Attempt::Decided(Err(Failure::not_run(FailureReason::TransactionLost)));
@@ -226,7 +227,7 @@
     };
     match answer.outcome {
         Ok(signature) => {
-            trace.attempted(&member, "completed");
+            trace.record_attempt(&member, "completed");
             open.wrote = first.access == Access::Write;
             transaction.stage = Stage::Open(open);
             Attempt::Decided(Ok(Completion {
@@ -235,9 +236,9 @@
             }))
         }
         Err(refusal) => {
-            trace.attempted(&member, refusal_text(&refusal));
+            trace.record_attempt(&member, refusal_text(&refusal));
             open.connection.roll_back();
-            judge_refusal(refusal)
+            refusal_outcome(refusal)
         }
     }
 }
