--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -102,7 +102,7 @@
     Records,
 }
 
-/// Number of [`Feed`]s.
+/// Number of variants of [`Feed`].
 const FEEDS: usize = 3;
 
 /// How current this process is with one feed.
--- a/crates/engine/src/link/frame.rs
+++ b/crates/engine/src/link/frame.rs
@@ -166,11 +166,11 @@
 /// was never read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct FeedVersions {
-    /// Of the operator's documents.
+    /// The version of the operator's documents.
     pub configuration: u64,
-    /// Of the members' entries.
+    /// The version of the members' directory entries.
     pub directory: u64,
-    /// Of the fleet's records.
+    /// The version of the fleet's records.
     pub records: u64,
 }
 
--- a/crates/engine/src/ports/back_end.rs
+++ b/crates/engine/src/ports/back_end.rs
@@ -245,7 +245,7 @@
 pub trait BackEndConnection: Debug + Send + Sync + 'static {
     /// Runs one command and reads its complete answer.
     async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError>;
-    /// Carries out an order about replication.
+    /// Carries out a replication control order.
     async fn control(&mut self, control: Control) -> Result<MemberReport, BackEndConnectionError>;
     /// Whether the connection is usable: the member has neither closed it nor sent unsolicited
     /// data.
--- a/crates/engine/src/tenant.rs
+++ b/crates/engine/src/tenant.rs
@@ -17,9 +17,9 @@
 ///
 /// ```
 /// use stilequay_engine::tenant::Credential;
-/// let credential = Credential::of_key(b"a secret");
-/// assert_eq!(credential, Credential::of_key(b"a secret"));
-/// assert_ne!(credential, Credential::of_key(b"another"));
+/// let credential = Credential::from_key(b"a secret");
+/// assert_eq!(credential, Credential::from_key(b"a secret"));
+/// assert_ne!(credential, Credential::from_key(b"another"));
 /// assert_eq!(format!("{credential:?}"), "Credential(..)");
 /// ```
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
