--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -25,13 +25,13 @@
 
 use crate::engine::Engine;
 use crate::events::{DependencyMonitor, millis};
-use crate::home::placement::Source;
-use crate::leadership::duty::Duty;
+use crate::home::placement::StoreSource;
 use crate::leadership::fleet;
-use crate::link::frame::{FeedVersions, FollowedVersions, News};
+use crate::leadership::promotion_lease::PromotionLease;
+use crate::link::frame::{FeedVersions, FollowedVersions, StoreUpdates};
 use crate::peers::declared;
 use crate::ports::{Record, RecordChanges};
-use search::{NoNews, Search, Step};
+use search::{NoUpdates, Search, Step};
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -39,14 +39,14 @@
 use tokio::time::{Instant, sleep};
 
 /// Processes that may follow the store themselves, each.
-const DIRECT_FLEET: usize = 16;
+const MAX_DIRECT_FLEET: usize = 16;
 /// How long one question waits for news.
-const NEWS_WAIT: Duration = Duration::from_millis(900);
+const UPDATE_WAIT: Duration = Duration::from_millis(900);
 /// The same as a share of the time within which a removed credential, or an evacuation, must
 /// be known everywhere.
 /// A process proves its configuration by way of two others: this share for each of these, and
 /// two waits at the store, leave three fifths of that time for a source that is lost.
-const REVOCATION_SHARE: f64 = 0.1;
+const PROOF_WAIT_SHARE: f64 = 0.1;
 /// Age of a proof of the configuration, as a share of the time within which a removed
 /// credential must be known, from which on a process looks for a better one. A proof that was
 /// just told is three waits old at most where nothing is amiss, three tenths of that time; what
@@ -57,37 +57,37 @@
 const AGE_MARGIN: Duration = Duration::from_millis(600);
 /// Longest time after the start in which a fleet that starts for the first time comes to know
 /// itself: each process writes a record, and the store takes some hundred a second.
-const SETTLING: Duration = Duration::from_secs(3);
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time without another process after which such a fleet counts as known.
-const SETTLED_AFTER: Duration = Duration::from_millis(400);
+const DISCOVERY_QUIET_PERIOD: Duration = Duration::from_millis(400);
 /// Pause between two readings of its processes; a random part of as much is added.
-const SETTLING_PAUSE: Duration = Duration::from_millis(150);
+const DISCOVERY_PAUSE: Duration = Duration::from_millis(150);
 /// Interval in which a process that starts looks whether it has taken the fleet in.
-const TAKING_LOOK: Duration = Duration::from_millis(1);
+const FLEET_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 /// How long after its start a process may wait for others that are starting too, as a share of the
 /// time within which a change must be known; then it turns to the store itself.
-const STARTING_CONTACT_SHARE: f64 = 0.6;
+const STARTING_PROPAGATION_SHARE: f64 = 0.6;
 /// Pause before one that is starting is asked again: its answer was held for a wait before.
 const STARTING_PAUSE: Duration = Duration::from_millis(20);
 /// Pause after nobody told anything, and of a process that follows by itself.
-const PAUSE: Duration = Duration::from_millis(250);
+const ROUND_PAUSE: Duration = Duration::from_millis(250);
 /// Pause after an answer with changes, in a large fleet, before more is asked for: changes that
 /// come close together are told at once.
-const FEED_PAUSE: Duration = Duration::from_millis(25);
+const MIN_FEED_PAUSE: Duration = Duration::from_millis(25);
 /// The same while changes go on and on, as thousands of entries do that are written at a start:
 /// each answer wakes whoever asks here. Well below the time in which a change must be known.
-const LONGEST_FEED_PAUSE: Duration = Duration::from_millis(250);
+const MAX_FEED_PAUSE: Duration = Duration::from_millis(250);
 
 /// Time over which processes turn to the store that others don't ask, when nobody tells them
 /// anything recent: hundreds would begin in one moment, and most find one that was quicker.
-const STORE_SPREAD: Duration = Duration::from_millis(400);
+const STORE_FALLBACK_SPREAD: Duration = Duration::from_millis(400);
 
 /// Pause before the store is asked again after a failure; a random part of as much is added.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 /// How often that pause doubles while the store goes on failing, at the most.
 const MAX_DOUBLINGS: u32 = 6;
 /// Longest pause, as a share of the time within which a change must be known.
-const RETRY_CONTACT_SHARE: f64 = 0.15;
+const RETRY_PROPAGATION_SHARE: f64 = 0.15;
 
 /// What is followed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -107,19 +107,19 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct FeedState {
     /// As of when the store had told everything.
-    heard: Option<Instant>,
+    current_as_of: Option<Instant>,
     /// The store's version as of which everything is known; zero where nothing is. Whoever
     /// begins to follow the store goes on from here, as long as it remembers that far back.
     version: u64,
     /// Whether the store has failed to answer lately.
     failing: bool,
     /// When the answer before came that brought changes, and the pause after it.
-    changed: Option<(Instant, Duration)>,
+    last_change: Option<(Instant, Duration)>,
 }
 
 impl FeedState {
     fn advance(&mut self, at: Instant, version: u64) {
-        self.heard = self.heard.max(Some(at));
+        self.current_as_of = self.current_as_of.max(Some(at));
         self.version = self.version.max(version);
     }
 }
@@ -128,18 +128,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mode {
     /// Not known yet: the process has just started.
-    Settling,
+    Discovering,
     /// From the store itself.
     Direct,
     /// From other processes.
-    Indirect,
+    Relayed,
 }
 
 /// Whether this process follows the store itself, and how recent what it knows is.
 #[derive(Debug)]
 pub struct Following {
     mode: watch::Sender<Mode>,
-    began: Instant,
+    started: Instant,
     feeds: Mutex<[FeedState; FEEDS]>,
     /// As of when the configuration in use was the newest.
     proof: watch::Sender<Option<Instant>>,
@@ -150,8 +150,8 @@
 impl Default for Following {
     fn default() -> Self {
         Self {
-            mode: watch::Sender::new(Mode::Settling),
-            began: Instant::now(),
+            mode: watch::Sender::new(Mode::Discovering),
+            started: Instant::now(),
             feeds: Mutex::default(),
             proof: watch::Sender::new(None),
             is_complete: watch::Sender::new(false),
@@ -167,14 +167,14 @@
 
     /// Returns once this process is to follow the store itself; whether it has learned from
     /// others before, so that it goes on from what they have told.
-    pub async fn until_direct(&self) -> bool {
+    pub async fn wait_until_direct(&self) -> bool {
         let mut mode = self.mode.subscribe();
         let mut has_learned = false;
         loop {
             match *mode.borrow_and_update() {
                 Mode::Direct => return has_learned,
-                Mode::Indirect => has_learned = true,
-                Mode::Settling => {}
+                Mode::Relayed => has_learned = true,
+                Mode::Discovering => {}
             }
             // The sender lives as long as this does.
             let _ = mode.changed().await;
@@ -183,13 +183,13 @@
 
     /// Notes that the store has told everything that `feed` holds as of `at`, and as of its
     /// `version`, and that it has been taken.
-    pub fn heard(&self, feed: Feed, at: Instant, version: u64) {
+    pub fn mark_current(&self, feed: Feed, at: Instant, version: u64) {
         let is_complete = {
             let mut feeds = self.lock();
             let state = &mut feeds[feed as usize];
             state.advance(at, version);
             state.failing = false;
-            feeds.iter().all(|feed| feed.heard.is_some())
+            feeds.iter().all(|feed| feed.current_as_of.is_some())
         };
         if is_complete {
             self.is_complete
@@ -199,7 +199,7 @@
 
     /// The same of what another process has told of all feeds. Whether the store fails to
     /// answer this one stays as it is: it does not tell others what it may not know for long.
-    fn heard_of_others(&self, at: Instant, versions: FeedVersions) {
+    fn mark_current_from_peer(&self, at: Instant, versions: FeedVersions) {
         let mut feeds = self.lock();
         feeds[Feed::Configuration as usize].advance(at, versions.configuration);
         feeds[Feed::Directory as usize].advance(at, versions.directory);
@@ -208,7 +208,7 @@
 
     /// Notes that the store has failed to tell of `feed`, for the `failures`th time in a row.
     /// One failure says little; the next call may be answered.
-    pub fn failed(&self, feed: Feed, failures: u32) {
+    pub fn mark_failed(&self, feed: Feed, failures: u32) {
         self.lock()[feed as usize].failing = failures > 1;
     }
 
@@ -241,9 +241,13 @@
     }
 
     /// Since when something may have changed that this process does not know.
-    pub fn known_as_of(&self) -> Option<Instant> {
+    pub fn current_as_of(&self) -> Option<Instant> {
         let feeds = *self.lock();
-        feeds.into_iter().map(|feed| feed.heard).min().flatten()
+        feeds
+            .into_iter()
+            .map(|feed| feed.current_as_of)
+            .min()
+            .flatten()
     }
 
     /// The version from which on the store is to be asked for changes of `feed`; `None`
@@ -263,17 +267,19 @@
 
     /// How long to wait after an answer with changes of `feed`, which was taken `now`: longer while
     /// one comes right after the other.
-    fn lengthen_pause(&self, feed: Feed, now: Instant) -> Duration {
+    fn next_feed_pause(&self, feed: Feed, now: Instant) -> Duration {
         let state = &mut self.lock()[feed as usize];
-        let before = state.changed.filter(|(at, pause)| now < *at + *pause * 2);
-        let pause = before.map_or(FEED_PAUSE, |(_, pause)| pause * 2);
-        let pause = pause.min(LONGEST_FEED_PAUSE);
-        state.changed = Some((now, pause));
+        let before = state
+            .last_change
+            .filter(|(at, pause)| now < *at + *pause * 2);
+        let pause = before.map_or(MIN_FEED_PAUSE, |(_, pause)| pause * 2);
+        let pause = pause.min(MAX_FEED_PAUSE);
+        state.last_change = Some((now, pause));
         pause
     }
 
     fn set_mode(&self, mode: Mode) {
-        if mode == Mode::Indirect {
+        if mode == Mode::Relayed {
             // It does not ask the store any more.
             self.lock().iter_mut().for_each(|feed| feed.failing = false);
         }
@@ -290,32 +296,32 @@
 }
 
 /// Whether the fleet is so large that most of it follows the store through a few.
-pub fn follows_others(engine: &Engine) -> bool {
-    engine.homes().fleet_len() > DIRECT_FLEET
+pub fn uses_relays(engine: &Engine) -> bool {
+    engine.homes().fleet_len() > MAX_DIRECT_FLEET
 }
 
 /// Learns from other processes, where there are some to learn from, until the process ends.
 ///
-/// Whoever holds `duty` follows the store itself: what others report there must reach it soon.
-pub async fn follow(engine: &Engine, duty: &Duty) {
+/// Whoever holds `lease` follows the store itself: what others report there must reach it soon.
+pub async fn follow(engine: &Engine, lease: &PromotionLease) {
     let mut dependency = DependencyMonitor::new("followers");
     let mut search = Search::default();
-    settle(engine).await;
+    discover_fleet(engine).await;
     loop {
-        if !follows_others(engine) {
+        if !uses_relays(engine) {
             engine.following().set_mode(Mode::Direct);
-            sleep(PAUSE).await;
+            sleep(ROUND_PAUSE).await;
             continue;
         }
-        let source = match duty.check() {
-            Some(_) => Source::Store,
-            None => engine.homes().source(&engine.settings().zone),
+        let source = match lease.check() {
+            Some(_) => StoreSource::Store,
+            None => engine.homes().store_source(&engine.settings().zone),
         };
         match source {
-            Source::Store => follow_store(engine, &mut search).await,
-            Source::Peers(peers) => {
+            StoreSource::Store => follow_store(engine, &mut search).await,
+            StoreSource::Peers(peers) => {
                 let learned = follow_peers(engine, &peers, &mut search).await;
-                dependency.note(engine.events(), learned.err());
+                dependency.record_outcome(engine.events(), learned.err());
             }
         }
     }
@@ -324,8 +330,8 @@
 /// Returns once the fleet is known, or so much of it that others are asked. Until then only its
 /// index is read, or where there is none the records of its processes: whole tables, read by
 /// hundreds that start in one moment, are more than the store can send.
-async fn settle(engine: &Engine) {
-    let until = engine.following().began + SETTLING;
+async fn discover_fleet(engine: &Engine) {
+    let until = engine.following().started + DISCOVERY_TIMEOUT;
     let (mut known, mut since) = (0, Instant::now());
     let mut is_restart = None;
     let mut has_index = None;
@@ -335,32 +341,32 @@
             has_index = engine.terms().read_index().await.ok();
         }
         if has_index == Some(true) {
-            until_taken(engine).await;
+            wait_until_fleet_applied(engine).await;
             return;
         }
         if has_index.is_some() && engine.terms().read_processes().await.is_ok() {
             is_restart.get_or_insert_with(|| fleet::is_registered(engine));
-            until_taken(engine).await;
+            wait_until_fleet_applied(engine).await;
         }
-        if follows_others(engine) || is_restart == Some(true) {
+        if uses_relays(engine) || is_restart == Some(true) {
             return;
         }
         let processes = engine.homes().fleet_len();
         if processes != known {
             (known, since) = (processes, Instant::now());
         }
-        if since.elapsed() >= SETTLED_AFTER || Instant::now() >= until {
+        if since.elapsed() >= DISCOVERY_QUIET_PERIOD || Instant::now() >= until {
             return;
         }
-        sleep(SETTLING_PAUSE.mul_f64(1.0 + rand::random::<f64>())).await;
+        sleep(DISCOVERY_PAUSE.mul_f64(1.0 + rand::random::<f64>())).await;
     }
 }
 
 /// Returns once the processes that were read count as the fleet.
-async fn until_taken(engine: &Engine) {
+async fn wait_until_fleet_applied(engine: &Engine) {
     let read = fleet::count(engine);
     while engine.processes() < read {
-        sleep(TAKING_LOOK).await;
+        sleep(FLEET_CHECK_INTERVAL).await;
     }
 }
 
@@ -368,11 +374,11 @@
 /// others may know more.
 async fn follow_store(engine: &Engine, search: &mut Search) {
     engine.following().set_mode(Mode::Direct);
-    if needs_more(engine) {
+    if needs_peer_updates(engine) {
         // That the store does not answer is told by the tasks that ask it.
-        let _ = search.look_further(engine, true).await;
+        let _ = search.widen_search(engine, true).await;
     }
-    sleep(PAUSE).await;
+    sleep(ROUND_PAUSE).await;
 }
 
 /// One round of any other process: it asks `peers`, looks further where they tell nothing
@@ -392,14 +398,14 @@
     let learned = search.ask_sources(engine, peers).await;
     let learned = match learned {
         Ok(()) => {
-            following.set_mode(Mode::Indirect);
+            following.set_mode(Mode::Relayed);
             if known != known_versions(engine) {
                 pause_after_changes(engine, Feed::Directory).await;
             }
             return Ok(());
         }
         // It answers as soon as it knows everything.
-        Err(NoNews::Starting) if is_starting(engine) => {
+        Err(NoUpdates::Starting) if is_starting(engine) => {
             sleep(STARTING_PAUSE).await;
             return Ok(());
         }
@@ -409,42 +415,45 @@
         follow_store(engine, search).await;
         return learned;
     }
-    let with_scouts = !following.is_direct() || needs_more(engine);
-    let learned = search.look_further(engine, with_scouts).await;
+    let with_scouts = !following.is_direct() || needs_peer_updates(engine);
+    let learned = search.widen_search(engine, with_scouts).await;
     match learned {
         Ok(Step::Elsewhere) => {
-            following.set_mode(Mode::Indirect);
+            following.set_mode(Mode::Relayed);
             return Ok(());
         }
         // What happens to know something recent now need not know it for long.
         _ if search.is_store_due() => following.set_mode(Mode::Direct),
         _ => {}
     }
-    let pause = PAUSE.mul_f64(0.5 + rand::random::<f64>());
+    let pause = ROUND_PAUSE.mul_f64(0.5 + rand::random::<f64>());
     sleep(search.pause(pause)).await;
     learned.map(|_| ())
 }
 
 /// Whether a process that follows the store should ask others too.
-fn needs_more(engine: &Engine) -> bool {
+fn needs_peer_updates(engine: &Engine) -> bool {
     engine.following().is_failing() || !is_recent(engine, Instant::now())
 }
 
 /// Waits after an answer with changes of `feed`, in a large fleet, before more is asked for.
 pub async fn pause_after_changes(engine: &Engine, feed: Feed) {
-    if engine.processes() > DIRECT_FLEET {
-        sleep(engine.following().lengthen_pause(feed, Instant::now())).await;
+    if engine.processes() > MAX_DIRECT_FLEET {
+        sleep(engine.following().next_feed_pause(feed, Instant::now())).await;
     }
 }
 
 /// How long to wait before the store is asked again after it has failed `failures` times in
 /// a row. In a large fleet the wait grows: what is refused costs the store too.
-pub fn retry_pause(engine: &Engine, failures: u32) -> Duration {
-    let doublings = match engine.processes() > DIRECT_FLEET {
+pub fn retry_backoff(engine: &Engine, failures: u32) -> Duration {
+    let doublings = match engine.processes() > MAX_DIRECT_FLEET {
         true => failures.saturating_sub(1).min(MAX_DOUBLINGS),
         false => 0,
     };
-    let longest = engine.settings().contact.mul_f64(RETRY_CONTACT_SHARE);
+    let longest = engine
+        .settings()
+        .propagation_bound
+        .mul_f64(RETRY_PROPAGATION_SHARE);
     let pause = (RETRY_PAUSE * 2_u32.pow(doublings)).min(longest.max(RETRY_PAUSE));
     pause.mul_f64(1.0 + rand::random::<f64>())
 }
@@ -465,23 +474,23 @@
 
 /// Whether this process has not heard of the store for longer than it should, at `now`.
 pub fn is_out_of_date(engine: &Engine, now: Instant) -> bool {
-    let as_of = engine.following().known_as_of();
+    let as_of = engine.following().current_as_of();
     as_of.is_none_or(|at| now > at + age_limit(engine))
 }
 
 /// Greatest age of what a process knows of the store, while it is told: one wait of who
 /// follows the store, and one of who asks that one for others.
 pub fn age_limit(engine: &Engine) -> Duration {
-    let relayed = match follows_others(engine) {
-        true => news_wait(engine),
+    let relayed = match uses_relays(engine) {
+        true => update_wait(engine),
         false => Duration::ZERO,
     };
-    engine.feed_wait() + AGE_MARGIN + relayed
+    engine.watch_timeout() + AGE_MARGIN + relayed
 }
 
 /// How long one question waits for news here.
-fn news_wait(engine: &Engine) -> Duration {
-    proof_wait(engine).map_or(NEWS_WAIT, |wait| NEWS_WAIT.min(wait))
+fn update_wait(engine: &Engine) -> Duration {
+    proof_wait(engine).map_or(UPDATE_WAIT, |wait| UPDATE_WAIT.min(wait))
 }
 
 /// How old the proof of what is in use may be; `None` where none is needed.
@@ -496,19 +505,19 @@
 
 /// Longest wait for news where what is in use must be proven.
 fn proof_wait(engine: &Engine) -> Option<Duration> {
-    proof_bound(engine).map(|bound| bound.mul_f64(REVOCATION_SHARE))
+    proof_bound(engine).map(|bound| bound.mul_f64(PROOF_WAIT_SHARE))
 }
 
 /// How long one call waits for changes of the configuration at the store.
-pub fn configuration_wait(engine: &Engine) -> Duration {
-    let wait = engine.feed_wait();
+pub fn configuration_watch_timeout(engine: &Engine) -> Duration {
+    let wait = engine.watch_timeout();
     proof_wait(engine).map_or(wait, |longest| wait.min(longest))
 }
 
 /// How long one call waits for changes at the store that usually waits for `wait`. One that
 /// follows after the process has `turned` to the store, or after `failures`, does not wait:
 /// what it answers tells at once that nothing was missed, half a second or more sooner.
-pub fn first_wait(turned: bool, failures: u32, wait: Duration) -> Duration {
+pub fn initial_watch_timeout(turned: bool, failures: u32, wait: Duration) -> Duration {
     match turned || failures > 0 {
         true => Duration::ZERO,
         false => wait,
@@ -522,14 +531,14 @@
     }
 }
 
-fn take(engine: &Engine, news: News, asked: Instant) {
-    declared::take(engine, news.declared, asked);
-    if news.records_version > engine.terms().version() {
+fn apply_updates(engine: &Engine, updates: StoreUpdates, asked: Instant) {
+    declared::apply(engine, updates.declared, asked);
+    if updates.records_version > engine.terms().version() {
         let changes = RecordChanges {
-            written: news.records,
-            version: news.records_version,
+            written: updates.records,
+            version: updates.records_version,
         };
-        engine.terms().take_changes(engine, &changes);
+        engine.terms().apply_changes(engine, &changes);
     }
 }
 
@@ -538,14 +547,21 @@
 /// they all read whole tables, the store would be as slow as to keep it from learning, too.
 fn is_starting(engine: &Engine) -> bool {
     let following = engine.following();
-    let longest = engine.settings().contact.mul_f64(STARTING_CONTACT_SHARE);
-    let is_young = following.began.elapsed() < longest;
-    is_young && following.known_as_of().is_none() && !following.is_failing()
+    let longest = engine
+        .settings()
+        .propagation_bound
+        .mul_f64(STARTING_PROPAGATION_SHARE);
+    let is_young = following.started.elapsed() < longest;
+    is_young && following.current_as_of().is_none() && !following.is_failing()
 }
 
 /// What this process knows that is newer than `known`; waits up to `wait` for something
 /// newer, while what it knows is recent. One that is starting answers once it knows everything.
-pub async fn news(engine: &Engine, known: FollowedVersions, wait: Duration) -> News {
+pub async fn updates_since(
+    engine: &Engine,
+    known: FollowedVersions,
+    wait: Duration,
+) -> StoreUpdates {
     let mut directory = engine.subscribe_directory();
     let mut configuration = engine.subscribe_configuration();
     let mut evacuations = engine.subscribe_evacuations();
@@ -561,10 +577,10 @@
         completeness.mark_unchanged();
         let now = Instant::now();
         if !(is_starting(engine) && now < until) {
-            let news = news_since(engine, known, asked);
-            let stale = news.age.is_none() || !is_recent(engine, now);
-            if news.is_any(known) || stale || now >= until {
-                return news;
+            let updates = collect_updates(engine, known, asked);
+            let stale = updates.age.is_none() || !is_recent(engine, now);
+            if updates.has_updates(known) || stale || now >= until {
+                return updates;
             }
         }
         tokio::select! {
@@ -579,10 +595,10 @@
 }
 
 /// What is newer than `known`, for a question that came at `asked`.
-fn news_since(engine: &Engine, known: FollowedVersions, asked: Instant) -> News {
+fn collect_updates(engine: &Engine, known: FollowedVersions, asked: Instant) -> StoreUpdates {
     // Before what is known is gathered: it must hold no less than these tell.
     let (as_of, feeds) = (
-        engine.following().known_as_of(),
+        engine.following().current_as_of(),
         engine.following().versions(),
     );
     let records_as_of = engine.slow_starts().records_as_of();
@@ -592,7 +608,7 @@
         false => Vec::new(),
     };
     let as_of = as_of.filter(|_| !engine.following().is_failing());
-    News {
+    StoreUpdates {
         is_starting: as_of.is_none() && is_starting(engine),
         age: as_of.map(|at| Duration::from_millis(millis(asked.saturating_duration_since(at)) + 1)),
         feeds,
@@ -603,8 +619,8 @@
     }
 }
 
-impl News {
-    fn is_any(&self, known: FollowedVersions) -> bool {
+impl StoreUpdates {
+    fn has_updates(&self, known: FollowedVersions) -> bool {
         let declared = &self.declared;
         declared.configuration.is_some()
             || declared.directory.is_some()
--- a/crates/engine/src/home/remote.rs
+++ b/crates/engine/src/home/remote.rs
@@ -1,13 +1,13 @@
-//! Connections to a member by way of its homes.
+//! Connections to a member through its homes.
 
-use super::placement::{CANDIDATES, Homes};
+use super::placement::{CANDIDATES_PER_MEMBER, Homes};
 use crate::directory::Member;
 use crate::link::Link;
 use crate::link::frame::{HomeCommand, HomeOutcome, NotSent, RunRequest, UnitId};
 use crate::names::TenantName;
 use crate::ports::{
-    Admission, Answer, BackEnd, BackEndConnection, Command, ConnectError, Control, LinkError,
-    MemberReport, Refusal, RefusalKind,
+    Admission, Answer, BackEnd, BackEndConnection, BackEndConnectionError, Command, ConnectError,
+    Control, MemberReport, Refusal, RefusalKind,
 };
 use crate::residency::{Allowed, Residency};
 use crate::statement::{PreparedStatement, TransactionState};
@@ -19,8 +19,8 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-/// Reaches one member through its homes in allowed regions; by itself, with few connections,
-/// while none of these can be reached.
+/// Back end that connects to a member through its homes in allowed regions, or directly with a few
+/// connections while no such home is reachable.
 #[derive(Debug)]
 pub struct RemoteBackEnd {
     homes: Arc<Homes>,
@@ -29,7 +29,7 @@
 }
 
 impl RemoteBackEnd {
-    /// By way of those `homes` that `residency` allows, or by `direct`.
+    /// Creates a back end that uses those `homes` that `residency` allows, and `direct` otherwise.
     pub fn new(homes: Arc<Homes>, direct: Arc<dyn BackEnd>, residency: Residency) -> Self {
         Self {
             homes,
@@ -46,7 +46,11 @@
         member: &Member,
         tenant: Option<&TenantName>,
     ) -> Result<Box<dyn BackEndConnection>, ConnectError> {
-        if let Some(link) = self.homes.choose(member, tenant, &self.residency).await {
+        if let Some(link) = self
+            .homes
+            .choose_link(member, tenant, &self.residency)
+            .await
+        {
             let connection = RemoteConnection::new(Arc::clone(&self.homes), link, member, tenant);
             return Ok(Box::new(connection));
         }
@@ -60,7 +64,7 @@
     }
 }
 
-/// One of the few connections of a process that reaches no home.
+/// One of the few direct connections of a process that can't reach any home.
 #[derive(Debug)]
 struct DirectConnection {
     connection: Box<dyn BackEndConnection>,
@@ -69,11 +73,11 @@
 
 #[async_trait]
 impl BackEndConnection for DirectConnection {
-    async fn run(&mut self, command: &Command) -> Result<Answer, LinkError> {
+    async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError> {
         self.connection.run(command).await
     }
 
-    async fn control(&mut self, control: Control) -> Result<MemberReport, LinkError> {
+    async fn control(&mut self, control: Control) -> Result<MemberReport, BackEndConnectionError> {
         self.connection.control(control).await
     }
 
@@ -86,17 +90,18 @@
     }
 }
 
-/// What becomes of a command.
+/// How a command is processed.
 #[derive(Debug)]
 enum Plan {
-    /// It is answered here: no member is needed for it.
+    /// Answered locally, since it doesn't need the member.
     Answer(Answer),
-    /// A home is to run it.
+    /// Forwarded to a home.
     Forward(HomeCommand),
 }
 
-/// A connection that exists here only: what a session has set and prepared on it goes along
-/// with each command, and a home runs each unit on whichever connection is free.
+/// A virtual connection without a counterpart at the home. Session variables and prepared
+/// statements are sent along with each command, and the home runs each unit (a statement or a
+/// transaction) on any free connection.
 #[derive(Debug)]
 struct RemoteConnection {
     homes: Arc<Homes>,
@@ -106,7 +111,7 @@
     admission: Admission,
     values: BTreeMap<Bytes, Bytes>,
     prepared: HashMap<Bytes, PreparedStatement>,
-    /// The unit that is open at the home.
+    /// Unit that is open at the home.
     unit: Option<UnitId>,
     state: TransactionState,
 }
@@ -135,23 +140,23 @@
         self.link.get()
     }
 
-    /// Answers what needs no member; else what a home is to run.
+    /// Answers `command` locally if it doesn't need the member; otherwise converts it for a home.
     fn plan(&mut self, command: &Command) -> Plan {
         match command {
             Command::Set { name, value } => {
                 self.values.insert(name.clone(), value.clone());
-                Plan::Answer(self.done())
+                Plan::Answer(self.empty_answer())
             }
             Command::Prepare { name, prepared } => {
                 self.prepared.insert(name.clone(), prepared.clone());
-                Plan::Answer(self.done())
+                Plan::Answer(self.empty_answer())
             }
             Command::Reset => {
                 self.values.clear();
                 self.prepared.clear();
-                Plan::Answer(self.done())
+                Plan::Answer(self.empty_answer())
             }
-            Command::Rollback if self.unit.is_none() => Plan::Answer(self.done()),
+            Command::Rollback if self.unit.is_none() => Plan::Answer(self.empty_answer()),
             Command::Rollback => Plan::Forward(HomeCommand::Rollback),
             Command::Begin { read_only, after } => Plan::Forward(HomeCommand::Begin {
                 read_only: *read_only,
@@ -205,30 +210,38 @@
         }
     }
 
-    /// Has a command run at the home, in the unit that is open there or in one that begins.
-    async fn forward(&mut self, command: HomeCommand) -> Result<HomeOutcome, LinkError> {
+    /// Runs a command at the home, in the open unit or in a new one.
+    async fn forward(
+        &mut self,
+        command: HomeCommand,
+    ) -> Result<HomeOutcome, BackEndConnectionError> {
         let ended = "the link to the home has ended";
         let begins = self.unit.is_none();
         let unit = self.unit.unwrap_or_else(|| self.link().begin_unit());
         let Some(answer) = self.link().run(self.request(unit, command)) else {
             return match begins {
                 true => Ok(HomeOutcome::NotSent(NotSent::Unreachable(ended.to_owned()))),
-                false => Err(LinkError::Closed(ended.to_owned())),
+                false => Err(BackEndConnectionError::Closed(ended.to_owned())),
             };
         };
-        // From here on a call that is dropped leaves the unit to be closed.
+        // Record the unit before waiting, so that it is closed if this future is dropped.
         self.unit = Some(unit);
         metrics::counter!("stilequay_home_forwarded_total").increment(1);
         let outcome = answer.await;
-        outcome.map_err(|_| LinkError::Closed("the link to the home ended".to_owned()))
+        outcome.map_err(|_| BackEndConnectionError::Closed("the link to the home ended".to_owned()))
     }
 
-    /// Leaves a home that runs nothing at the member; returns whether there is another.
-    async fn go_elsewhere(&mut self) -> bool {
+    /// Switches away from a home that can't run commands at the member. Returns whether another
+    /// home is available.
+    async fn switch_home(&mut self) -> bool {
         self.unit = None;
-        self.link().distrust();
+        self.link().deprioritize();
         let (tenant, residency) = (self.tenant.as_ref(), self.link.residency());
-        match self.homes.choose(&self.member, tenant, residency).await {
+        match self
+            .homes
+            .choose_link(&self.member, tenant, residency)
+            .await
+        {
             Some(link) if !Arc::ptr_eq(link.get(), self.link()) => {
                 self.link = link;
                 true
@@ -237,8 +250,8 @@
         }
     }
 
-    /// Takes what came of a command that was sent.
-    fn take(&mut self, outcome: HomeOutcome) -> Result<Answer, LinkError> {
+    /// Updates the state of the connection from the outcome of a command.
+    fn apply(&mut self, outcome: HomeOutcome) -> Result<Answer, BackEndConnectionError> {
         match outcome {
             HomeOutcome::Answered(answer) => {
                 self.state = answer.state;
@@ -251,7 +264,7 @@
                 self.unit = None;
                 Ok(self.not_sent(reason))
             }
-            HomeOutcome::Lost(reason) => Err(LinkError::Closed(reason)),
+            HomeOutcome::Lost(reason) => Err(BackEndConnectionError::Closed(reason)),
         }
     }
 
@@ -279,7 +292,7 @@
         }
     }
 
-    fn done(&self) -> Answer {
+    fn empty_answer(&self) -> Answer {
         Answer {
             rows: Vec::new(),
             outcome: Ok(Bytes::new()),
@@ -303,40 +316,40 @@
         };
         Answer {
             outcome: Err(refusal),
-            ..self.done()
+            ..self.empty_answer()
         }
     }
 }
 
 #[async_trait]
 impl BackEndConnection for RemoteConnection {
-    async fn run(&mut self, command: &Command) -> Result<Answer, LinkError> {
+    async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError> {
         let command = match self.plan(command) {
             Plan::Forward(command) => command,
             Plan::Answer(answer) => return Ok(answer),
         };
         if self.unit.is_some() {
             let outcome = self.forward(command).await?;
-            return self.take(outcome);
+            return self.apply(outcome);
         }
         let mut outcome = self.forward(command.clone()).await?;
-        // A home that has just started, or hears nothing of the store: the next one may know
-        // the member, and that it may be sent to.
-        for _ in 1..CANDIDATES {
+        // The home has just started or receives no updates from the store. The next one may know
+        // the member and be allowed to send to it.
+        for _ in 1..CANDIDATES_PER_MEMBER {
             let passed_on = matches!(
                 outcome,
                 HomeOutcome::NotSent(NotSent::UnknownMember | NotSent::MayNotSend(_))
             );
-            if !passed_on || !self.go_elsewhere().await {
+            if !passed_on || !self.switch_home().await {
                 break;
             }
             outcome = self.forward(command.clone()).await?;
         }
-        self.take(outcome)
+        self.apply(outcome)
     }
 
-    async fn control(&mut self, _: Control) -> Result<MemberReport, LinkError> {
-        Err(LinkError::Refused(
+    async fn control(&mut self, _: Control) -> Result<MemberReport, BackEndConnectionError> {
+        Err(BackEndConnectionError::Refused(
             "orders do not go through homes".to_owned(),
         ))
     }
--- a/crates/engine/src/home/unit.rs
+++ b/crates/engine/src/home/unit.rs
@@ -1,12 +1,14 @@
-//! A unit at a home: a single statement, or a transaction, on one of the connections that
-//! the home holds.
+//! Units that a home runs for other processes: a single statement or a transaction on one of the
+//! connections that the home holds.
 
 use crate::directory::Member;
 use crate::engine::Engine;
 use crate::evacuation::MayNotSend;
 use crate::group::{Group, UsableLeader};
 use crate::link::frame::{HomeCommand, HomeOutcome, NotSent, RunRequest};
-use crate::pool::{AcquireError, Claim, MemberPool, PooledConnection, RunError, Work};
+use crate::pool::{
+    AcquireError, AcquireRequest, MemberPool, PooledConnection, RunError, SessionStatement,
+};
 use crate::ports::{Answer, Command, Refusal, RefusalKind};
 use crate::routing::is_use_expired;
 use crate::statement::{Access, TransactionState};
@@ -16,14 +18,14 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep};
 
-/// How long a command goes on for which nobody waits any more: most are answered soon, and
-/// the connection stays good.
-const ABANDONED_WAIT: Duration = Duration::from_millis(400);
+/// How long a command continues to run after its requester has stopped waiting. Most are answered
+/// within this time, and the connection can be reused.
+const ABANDONED_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The code of what is not sent any more, in events.
-const HELD_BACK_CODE: &[u8] = b"HOME_MAY_NOT_SEND";
+/// Error code, used in events, of commands that may not be sent to an evacuated zone.
+const MAY_NOT_SEND_CODE: &[u8] = b"HOME_MAY_NOT_SEND";
 
-/// A unit on its connection.
+/// A unit and the connection it runs on.
 #[derive(Debug)]
 pub struct Unit {
     group: Arc<Group>,
@@ -35,17 +37,17 @@
 }
 
 impl Unit {
-    /// Waits for the turn of the unit that begins with `request`.
+    /// Waits for a connection for the unit that begins with `request`.
     ///
     /// # Errors
     ///
-    /// [`NotSent`] where there is no connection in time.
+    /// Returns [`NotSent`] if no connection can be acquired in time.
     pub async fn open(engine: &Engine, request: &RunRequest) -> Result<Self, NotSent> {
         let now = Instant::now();
         let pool = usable_pool(engine, &request.member, now)?;
         check_regions(engine, request, &pool)?;
         let group = engine.group(&pool.member().group);
-        let claim = Claim {
+        let acquire_request = AcquireRequest {
             database: request.database.clone(),
             tenant: request.tenant.clone(),
             rank: request.rank,
@@ -57,7 +59,9 @@
             true => now,
             false => until,
         };
-        let acquired = pool.acquire_paced(&claim, until, paced_until).await;
+        let acquired = pool
+            .acquire_paced(&acquire_request, until, paced_until)
+            .await;
         let connection = acquired.map_err(|error| match error {
             AcquireError::Exhausted => NotSent::Exhausted,
             AcquireError::Shed(retry_after) => NotSent::Shed { retry_after },
@@ -65,7 +69,7 @@
             AcquireError::SlowStart(retry_after) => NotSent::SlowStart { retry_after },
             error => NotSent::Unreachable(error.to_string()),
         })?;
-        // They may have changed while the unit waited.
+        // The home regions may have changed while the unit waited.
         check_regions(engine, request, &pool)?;
         Ok(Self {
             replicated: engine.sync_replicas(group.name()) > 0,
@@ -77,14 +81,14 @@
         })
     }
 
-    /// Ends it where nobody waits for it any more.
+    /// Rolls the unit back after its requester has stopped waiting for it.
     pub fn roll_back(self) {
         self.connection.roll_back();
     }
 
-    /// Runs a command; for a moment only where nobody waits for it any more. `None` where
-    /// it was given up.
-    pub async fn run_for(
+    /// Runs a command. Once the requester stops waiting for it, the command is given only a short
+    /// time to finish; `None` if it did not.
+    pub async fn run_unless_abandoned(
         &mut self,
         request: RunRequest,
         rx: &mut mpsc::Receiver<RunRequest>,
@@ -98,8 +102,8 @@
         }
         tokio::select! {
             outcome = &mut running => Some(outcome),
-            () = sleep(ABANDONED_WAIT) => {
-                pool.note_unanswered(sent);
+            () = sleep(ABANDONED_TIMEOUT) => {
+                pool.record_timeout(sent);
                 None
             }
         }
@@ -107,31 +111,31 @@
 
     async fn run(&mut self, request: RunRequest) -> HomeOutcome {
         if let Err(reason) = self.pool.check_sending() {
-            return self.held_back(reason);
+            return self.sending_refused(reason);
         }
         let values = Arc::new(request.values);
-        if let Err(error) = self.connection.put_values(&values).await {
+        if let Err(error) = self.connection.apply_values(&values).await {
             return self.failed_before(error.to_string());
         }
         let leader = self.group.as_leader(&self.pool.member().id);
         let sent = Instant::now();
-        let commits = self.is_commit(&request.command);
-        if commits && leader.is_some() {
+        let is_commit = self.is_commit(&request.command);
+        if is_commit && leader.is_some() {
             self.group.record_commit_sent(sent);
         }
         match self.run_command(request.command).await {
             Ok(answer) => {
                 self.has_begun = true;
-                self.learn(leader.as_ref(), sent, commits, &answer);
+                self.record_evidence(leader.as_ref(), sent, is_commit, &answer);
                 HomeOutcome::Answered(answer)
             }
-            Err(RunError::Before(error)) => self.failed_before(error.to_string()),
-            Err(RunError::After(error)) => HomeOutcome::Lost(error.to_string()),
+            Err(RunError::BeforeSend(error)) => self.failed_before(error.to_string()),
+            Err(RunError::AfterSend(error)) => HomeOutcome::Lost(error.to_string()),
         }
     }
 
-    /// The connection failed before a command was sent on it. In a transaction, what was
-    /// done before is lost with it.
+    /// Returns the outcome of a command whose connection failed before it was sent. An open
+    /// transaction is lost with the connection.
     fn failed_before(&self, reason: String) -> HomeOutcome {
         match self.has_begun {
             true => HomeOutcome::Lost(reason),
@@ -139,9 +143,10 @@
         }
     }
 
-    /// Nothing is sent any more. What was done in a transaction goes with its connection: the
-    /// caller's next command, a commit too, is refused as one that the member has not run.
-    fn held_back(&self, reason: MayNotSend) -> HomeOutcome {
+    /// Returns the outcome of a command that may not be sent because of an evacuation. An open
+    /// transaction is lost with its connection: the caller's next command, including a commit, is
+    /// refused as one that the member has not run.
+    fn sending_refused(&self, reason: MayNotSend) -> HomeOutcome {
         if !self.has_begun {
             return HomeOutcome::NotSent(NotSent::MayNotSend(reason.to_string()));
         }
@@ -149,7 +154,7 @@
             rows: Vec::new(),
             outcome: Err(Refusal {
                 kind: RefusalKind::Unreachable,
-                code: Bytes::from_static(HELD_BACK_CODE),
+                code: Bytes::from_static(MAY_NOT_SEND_CODE),
                 text: Bytes::from(reason.to_string()),
             }),
             state: TransactionState::Failed,
@@ -159,7 +164,7 @@
 
     async fn run_command(&mut self, command: HomeCommand) -> Result<Answer, RunError> {
         let connection = &mut self.connection;
-        let after_sent = RunError::After;
+        let after_sent = RunError::AfterSend;
         match command {
             HomeCommand::Begin { read_only, after } => {
                 let begin = Command::Begin { read_only, after };
@@ -177,8 +182,8 @@
                 after,
             } => {
                 self.wrote |= access == Access::Write;
-                let work = Work::Text { text, access };
-                connection.run_work(&id, &work, after).await
+                let work = SessionStatement::Text { text, access };
+                connection.run_statement(&id, &work, after).await
             }
             HomeCommand::Execute {
                 id,
@@ -187,11 +192,11 @@
                 after,
             } => {
                 self.wrote |= prepared.access == Access::Write;
-                let work = Work::Prepared {
+                let work = SessionStatement::Prepared {
                     prepared,
                     arguments,
                 };
-                connection.run_work(&id, &work, after).await
+                connection.run_statement(&id, &work, after).await
             }
         }
     }
@@ -208,11 +213,17 @@
         }
     }
 
-    /// Takes what an answer tells of the leader: the evidence of the whole fleet's commits
-    /// comes together here.
-    fn learn(&self, leader: Option<&UsableLeader>, sent: Instant, commits: bool, answer: &Answer) {
+    /// Records what an answer shows about the leader. The home thereby collects evidence from the
+    /// commits of the whole fleet.
+    fn record_evidence(
+        &self,
+        leader: Option<&UsableLeader>,
+        sent: Instant,
+        is_commit: bool,
+        answer: &Answer,
+    ) {
         let Some(leader) = leader else { return };
-        if commits && answer.outcome.is_ok() {
+        if is_commit && answer.outcome.is_ok() {
             self.group
                 .record_commit(leader, sent, answer.position, self.replicated);
         } else if let Some(position) = answer.position {
@@ -221,8 +232,8 @@
     }
 }
 
-/// Looks whether the home regions that this process knows of allow the member. Whoever has
-/// sent `request` has chosen it by its own knowledge, which may be older.
+/// Checks whether the home regions known to this process allow the member. The process that sent
+/// `request` may have chosen the member by an older configuration.
 fn check_regions(engine: &Engine, request: &RunRequest, pool: &MemberPool) -> Result<(), NotSent> {
     let residency = engine.residency(&request.database, request.tenant.as_ref());
     let topology = &engine.settings().topology;
@@ -232,8 +243,9 @@
     member.map(|_| ()).ok_or(NotSent::OutsideRegions)
 }
 
-/// Whether another member may run what begins with `command`: a read that asks for a position
-/// is not bound to the leader. It had better go there than wait for a cold member.
+/// Whether another member may run the unit that begins with `command`. A read that requires a
+/// position isn't bound to the leader, so it should use another member rather than wait for a cold
+/// one.
 fn may_run_elsewhere(command: &HomeCommand) -> bool {
     match command {
         HomeCommand::Begin { read_only, after } => *read_only && after.is_some(),
@@ -243,7 +255,7 @@
 }
 
 fn usable_pool(engine: &Engine, member: &str, now: Instant) -> Result<Arc<MemberPool>, NotSent> {
-    // Without a configuration it knows neither home regions nor cold members.
+    // Without a configuration, this process knows neither home regions nor cold members.
     if engine.configuration().is_none() {
         return Err(NotSent::UnknownMember);
     }
--- a/crates/engine/src/leadership/choice.rs
+++ b/crates/engine/src/leadership/choice.rs
@@ -1,15 +1,14 @@
-//! Which member is to lead next, and whether the fence before it is complete.
+//! Choice of the next leader, and the check that the fence before it is complete.
 //!
-//! With synchronous replication, an acknowledged commit lies in the leader's log and in at
-//! least one replica's. So once no replica receives from the old leader any more, the
-//! replica that has received most holds every acknowledged commit, provided that all of
-//! them were read; and a replica that has received as much as the old leader does so in
-//! any case.
+//! With synchronous replication, an acknowledged commit is in the log of the leader and of at
+//! least one replica. So once no replica receives from the old leader any more, the replica that
+//! has received the most holds every acknowledged commit, provided that all replicas have
+//! reported. A replica that has received as much as the old leader holds them in any case.
 
-use super::survey::{Response, Surveyed};
+use super::survey::{Response, SurveyedMember};
 use crate::directory::{Member, Role};
 use crate::evacuation::Evacuations;
-use crate::names::{MemberId, are_lives_of_one};
+use crate::names::{MemberId, are_incarnations_of_same_server};
 use crate::position::{LogPosition, Term};
 use crate::topology::Topology;
 use std::collections::HashSet;
@@ -19,55 +18,55 @@
 /// Why no member can be promoted yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Obstacle {
-    /// The old leader may still have commits acknowledged through this replica.
+    /// This replica isn't fenced: the old leader may still have commits acknowledged through it.
     NotFenced(MemberId),
-    /// This member may hold acknowledged commits that no other has.
+    /// This member may hold acknowledged commits that no other member holds.
     MayHoldMore(MemberId),
-    /// So few other members are known that there may be one that nobody knows, with acknowledged
-    /// commits that no other has.
+    /// So few other members are known that an unknown one may hold acknowledged commits that no
+    /// other member holds.
     TooFewKnown,
-    /// No member that could lead has answered.
+    /// No eligible replica has answered.
     NoCandidate,
 }
 
-/// The leader that is to be replaced.
+/// The leader to be replaced.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PreviousLeader {
     /// The member, if there was one.
     pub id: Option<MemberId>,
-    /// Where it listens: a server that comes back there under another name has its log.
+    /// Its address: a server that returns there under another id has its log.
     pub address: Option<SocketAddr>,
 }
 
 impl PreviousLeader {
-    /// Whether `member` is the old leader, or has come back in its place.
-    pub fn is(&self, member: &Member) -> bool {
+    /// Whether `member` is the old leader, or has returned at its address.
+    pub fn matches(&self, member: &Member) -> bool {
         self.id.as_ref() == Some(&member.id) || self.address == Some(member.address)
     }
 
-    /// Whether `member` is a later life of the old leader's server.
-    fn has_ended(&self, member: &Member) -> bool {
+    /// Whether `member` is a later incarnation of the old leader's server.
+    fn is_later_incarnation(&self, member: &Member) -> bool {
         let id = self.id.as_ref();
-        id.is_some_and(|id| are_lives_of_one(id, &member.id))
+        id.is_some_and(|id| are_incarnations_of_same_server(id, &member.id))
     }
 }
 
-/// What the members told after they were paused and the old leader demoted.
+/// The members' responses after the replicas were paused and the old leader demoted.
 #[derive(Debug)]
 pub struct FenceSurvey<'a> {
     /// All members.
-    pub members: &'a [Surveyed],
+    pub members: &'a [SurveyedMember],
     /// The old leader.
     pub previous: &'a PreviousLeader,
-    /// The term in whose name the others were paused.
+    /// The term for which the other members were paused.
     pub term: Term,
-    /// Replicas that must receive a commit before its acknowledgement.
+    /// Number of replicas that must receive a commit before it is acknowledged.
     pub sync_replicas: usize,
-    /// The highest position that the old leader's log is known to have had.
+    /// The highest known position of the old leader's log.
     pub known: Option<LogPosition>,
-    /// Zones whose members are to lead only where no other holds everything.
+    /// Zones whose members become leader only if no other member holds every commit.
     pub evacuations: &'a Evacuations,
-    /// The regions of zones.
+    /// Maps zones to regions.
     pub topology: &'a Topology,
 }
 
@@ -76,68 +75,71 @@
     ///
     /// # Errors
     ///
-    /// The [`Obstacle`] that keeps acknowledged commits from being safe.
+    /// The [`Obstacle`] because of which acknowledged commits could be lost.
     pub fn choose(&self, now: Instant) -> Result<MemberId, Obstacle> {
         let old_log = self.demoted_log();
         if old_log.is_none() && self.sync_replicas > 0 {
             self.check_fence(now)?;
         }
-        match self.choose_other(old_log, now) {
-            // The old leader itself holds everything, and leads nobody any more.
-            Err(obstacle) if old_log.is_some() => self.staying_previous().ok_or(obstacle),
+        match self.choose_replica(old_log, now) {
+            // The demoted leader itself holds every acknowledged commit.
+            Err(obstacle) if old_log.is_some() => self.previous_if_staying().ok_or(obstacle),
             chosen => chosen,
         }
     }
 
-    fn choose_other(
+    fn choose_replica(
         &self,
         old_log: Option<LogPosition>,
         now: Instant,
     ) -> Result<MemberId, Obstacle> {
-        let (member, received) = self.best_other().ok_or(Obstacle::NoCandidate)?;
+        let (member, received) = self.best_replica().ok_or(Obstacle::NoCandidate)?;
         if self.sync_replicas > 0 {
             self.check_complete(received, old_log, now)?;
-            self.check_known(received, old_log)?;
+            self.check_known_members(received, old_log)?;
         }
         Ok(member)
     }
 
-    fn staying_previous(&self) -> Option<MemberId> {
+    fn previous_if_staying(&self) -> Option<MemberId> {
         let mut old = self.members.iter().filter(|m| self.is_previous(m));
         let staying = old.find(|m| m.member.state.takes_work())?;
         Some(staying.member.id.clone())
     }
 
-    /// The old leader's log, if it has given up the lead: nothing more is acknowledged. A log
-    /// shorter than what others have, or empty, is not the one that it led with: its server has
-    /// started again and holds nothing of before.
+    /// The old leader's log position, if it was demoted and acknowledges nothing more. A log that
+    /// is empty or shorter than another member's is not the one that it had as leader: its server
+    /// has restarted without it.
     fn demoted_log(&self) -> Option<LogPosition> {
         let old = self.members.iter().filter(|m| self.is_previous(m));
-        let old = old.filter(|member| !self.previous.has_ended(&member.member));
+        let old = old.filter(|member| !self.previous.is_later_incarnation(&member.member));
         let mut reports = old.filter_map(|member| member.response.report());
         let report = reports.next()?;
-        let is_whole = report.received.number > 0
+        let is_complete = report.received.number > 0
             && self.known.is_none_or(|known| report.received >= known)
             && self
-                .best_other()
+                .best_replica()
                 .is_none_or(|(_, other)| report.received >= other);
-        (report.role == Role::Replica && is_whole).then_some(report.received)
+        (report.role == Role::Replica && is_complete).then_some(report.received)
     }
 
-    /// Every other member is paused, does not run, or has left.
+    /// Checks that every other member is paused, isn't running, or has left.
     fn check_fence(&self, now: Instant) -> Result<(), Obstacle> {
-        let unfenced = self.others(now).find(|member| match &member.response {
-            Response::Report(report) => report.paused_for < self.term,
-            Response::Down(_) | Response::Ended => false,
-            Response::Declined(_) | Response::Silent(_) => true,
-        });
+        let unfenced = self
+            .other_members(now)
+            .find(|member| match &member.response {
+                Response::Report(report) => report.paused_for < self.term,
+                Response::Down(_) | Response::RestartedEmpty => false,
+                Response::Declined(_) | Response::Silent(_) => true,
+            });
         match unfenced {
             Some(member) => Err(Obstacle::NotFenced(member.member.id.clone())),
             None => Ok(()),
         }
     }
 
-    /// No acknowledged commit can lie above `received`, the log of the best candidate.
+    /// Checks that no acknowledged commit can lie beyond `received`, the log position of the best
+    /// candidate.
     fn check_complete(
         &self,
         received: LogPosition,
@@ -147,23 +149,24 @@
         if old_log.is_some_and(|old| received >= old) {
             return Ok(());
         }
-        let unread = self
-            .others(now)
+        let unanswered = self
+            .other_members(now)
             .find(|member| member.response.report().is_none());
-        // What has left took its log along. The others hold that too once they have
-        // received as much as the leader is known to have had.
-        let left = self.members.iter().find(|member| member.has_left(now));
-        let left = left.filter(|_| self.known.is_some_and(|known| received < known));
-        match unread.or(left) {
+        // The log of a member that has left is gone. The remaining members hold its commits too
+        // if they have received as much as the leader is known to have had.
+        let departed = self.members.iter().find(|member| member.has_left(now));
+        let departed = departed.filter(|_| self.known.is_some_and(|known| received < known));
+        match unanswered.or(departed) {
             Some(member) => Err(Obstacle::MayHoldMore(member.member.id.clone())),
             None => Ok(()),
         }
     }
 
-    /// The leader may have had commits acknowledged through a replica that is not known here: at a
-    /// start the store may take a server's first entry many seconds late. With as few replicas as a
-    /// commit needs, the next leader could have none acknowledged anyway.
-    fn check_known(
+    /// Checks that enough other members are known. The leader may have had commits acknowledged
+    /// through a replica that is unknown here: at a start, the store may accept a server's first
+    /// entry many seconds late. With no more members than a commit needs replicas, the next leader
+    /// could not have commits acknowledged anyway.
+    fn check_known_members(
         &self,
         received: LogPosition,
         old_log: Option<LogPosition>,
@@ -179,9 +182,9 @@
         }
     }
 
-    /// The replica that has received most; among equals one outside evacuated zones and one that
-    /// stays, and then one of the old leader's region, where those that write have been near it.
-    fn best_other(&self) -> Option<(MemberId, LogPosition)> {
+    /// The replica that has received the most. Among equals, it prefers one outside evacuated zones
+    /// that isn't leaving, and then one in the old leader's region, which is near the writers.
+    fn best_replica(&self) -> Option<(MemberId, LogPosition)> {
         let candidates = self.members.iter().filter_map(|member| {
             let report = member.response.report()?;
             let stays = member.member.state.takes_work();
@@ -201,27 +204,27 @@
         Some((id, rank.0))
     }
 
-    /// Members other than the old leader that have not left.
-    fn others(&self, now: Instant) -> impl Iterator<Item = &Surveyed> {
+    /// Members other than the old leader, without those that have left.
+    fn other_members(&self, now: Instant) -> impl Iterator<Item = &SurveyedMember> {
         let members = self.members.iter();
         members.filter(move |member| !self.is_previous(member) && !member.has_left(now))
     }
 
-    /// Whether `member` stands in the old leader's region, as far as that is known.
-    fn is_near_previous(&self, member: &Surveyed) -> bool {
-        let region = |member: &Surveyed| self.topology.region_of(&member.member.zone);
+    /// Whether `member` is known to be in the old leader's region.
+    fn is_near_previous(&self, member: &SurveyedMember) -> bool {
+        let region = |member: &SurveyedMember| self.topology.region_of(&member.member.zone);
         let mut old = self.members.iter().filter(|other| self.is_previous(other));
         old.any(|old| region(old).is_some() && region(old) == region(member))
     }
 
-    fn is_previous(&self, member: &Surveyed) -> bool {
-        self.previous.is(&member.member)
+    fn is_previous(&self, member: &SurveyedMember) -> bool {
+        self.previous.matches(&member.member)
     }
 }
 
-/// A term above every one that any member has told of: orders in its name are heeded.
-/// A fence that was begun before is completed in the same name.
-pub fn fencing_term(members: &[Surveyed]) -> Term {
+/// A term higher than that of every report, so that members obey commands sent with it. A fence
+/// that was begun before keeps its term.
+pub fn fencing_term(members: &[SurveyedMember]) -> Term {
     let reports = members.iter().filter_map(|member| member.response.report());
     let terms = reports.map(|report| (report.term + 1).max(report.paused_for));
     terms.max().unwrap_or(1)
--- a/crates/engine/src/leadership/survey.rs
+++ b/crates/engine/src/leadership/survey.rs
@@ -1,35 +1,35 @@
-//! Asking the members of a group about themselves, and giving them orders.
+//! Status requests and control commands to the members of a group.
 
 use crate::directory::{Member, MemberState, Role};
 use crate::engine::Engine;
 use crate::names::GroupName;
-use crate::pool::{AcquireError, OrderError};
-use crate::ports::{ConnectError, Control, LinkError, MemberReport};
+use crate::pool::{AcquireError, ControlError};
+use crate::ports::{BackEndConnectionError, ConnectError, Control, MemberReport};
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Longest time for one order, its connection included.
-const ORDER_TIMEOUT: Duration = Duration::from_millis(450);
-/// How long a member whose entry has gone is still asked for. One that refuses
-/// connections for all that time has left.
-const GONE_WAIT: Duration = Duration::from_secs(10);
+/// Timeout of one control command, including the connection setup.
+const CONTROL_TIMEOUT: Duration = Duration::from_millis(450);
+/// How long after its entry has gone a member may still return. A member that refuses
+/// connections after that time has left.
+const GONE_MEMBER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What came of asking a member.
+/// Result of sending a control command to a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Response {
     /// It answered.
     Report(MemberReport),
-    /// Nobody listens at its address, or another does: it does not run now.
+    /// The member isn't running: nothing listens on its address, or another member does.
     Down(String),
-    /// It runs, and did not take the order: it is too busy, accepts no more connections, or
-    /// has refused.
+    /// It is running but did not carry out the command: it is too busy, accepts no more
+    /// connections, or has refused.
     Declined(String),
-    /// Its server has started again without its log.
-    Ended,
-    /// Nothing is known.
+    /// Its server has restarted without its log.
+    RestartedEmpty,
+    /// No answer: its state is unknown.
     Silent(String),
 }
 
@@ -43,24 +43,24 @@
     }
 }
 
-/// A member and what came of asking it.
+/// A member and its response.
 #[derive(Debug, Clone)]
-pub struct Surveyed {
+pub struct SurveyedMember {
     /// The member.
     pub member: Arc<Member>,
-    /// What came of it.
+    /// Its response.
     pub response: Response,
 }
 
-impl Surveyed {
-    /// Whether it has left for good, as far as can be known.
+impl SurveyedMember {
+    /// Whether the member counts as having left for good.
     pub fn has_left(&self, now: Instant) -> bool {
         let MemberState::Gone(departure) = self.member.state else {
             return false;
         };
         match self.response {
-            Response::Ended => true,
-            Response::Down(_) => now.duration_since(departure.learned) > GONE_WAIT,
+            Response::RestartedEmpty => true,
+            Response::Down(_) => now.duration_since(departure.learned_at) > GONE_MEMBER_TIMEOUT,
             _ => false,
         }
     }
@@ -72,105 +72,105 @@
     }
 }
 
-/// Gives `control` to one member.
-pub async fn order(engine: &Engine, member: &Arc<Member>, control: Control) -> Response {
-    if engine.directory().has_ended(member) {
-        return Response::Ended;
+/// Sends `control` to one member.
+pub async fn send_control(engine: &Engine, member: &Arc<Member>, control: Control) -> Response {
+    if engine.directory().has_restarted(member) {
+        return Response::RestartedEmpty;
     }
     let pool = engine.pool(member);
-    match timeout(ORDER_TIMEOUT, pool.order(control)).await {
+    match timeout(CONTROL_TIMEOUT, pool.control(control)).await {
         Ok(Ok(report)) => {
-            pool.note(|health| health.heard(Instant::now()));
+            pool.update_health(|health| health.record_contact(Instant::now()));
             Response::Report(report)
         }
-        Ok(Err(error)) => failure(&error),
-        Err(_) => Response::Silent("no answer in time".to_owned()),
+        Ok(Err(error)) => response_to_error(&error),
+        Err(_) => Response::Silent("timed out".to_owned()),
     }
 }
 
-/// How long a survey waits for the last members.
+/// How long a survey waits for the last members to answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
-    /// Members that may be left out.
-    may_miss: usize,
-    /// Wait for them after all others have answered.
-    wait: Duration,
+pub struct StragglerPolicy {
+    /// Number of members whose answers may be missing.
+    max_stragglers: usize,
+    /// How long to wait for them after all others have answered.
+    grace: Duration,
 }
 
-impl Patience {
-    /// Every member is waited for.
-    pub const WHOLE: Self = Self {
-        may_miss: 0,
-        wait: Duration::ZERO,
+impl StragglerPolicy {
+    /// Waits for every member.
+    pub const WAIT_FOR_ALL: Self = Self {
+        max_stragglers: 0,
+        grace: Duration::ZERO,
     };
-    /// One member, which is likely lost, is waited for only a moment longer than the rest.
-    pub const ONE_LIKELY_LOST: Self = Self {
-        may_miss: 1,
-        wait: Duration::from_millis(50),
+    /// Waits for the last member, which has likely failed, only briefly after all others.
+    pub const SKIP_ONE_STRAGGLER: Self = Self {
+        max_stragglers: 1,
+        grace: Duration::from_millis(50),
     };
 }
 
-/// Gives each member of `group` the order that `control_for` names for it, all at once.
+/// Sends each member of `group` the command that `control_for` returns for it, all concurrently.
 pub async fn survey(
     engine: &Engine,
     group: &GroupName,
     control_for: impl Fn(&Member) -> Control,
-    patience: Patience,
-) -> Vec<Surveyed> {
+    stragglers: StragglerPolicy,
+) -> Vec<SurveyedMember> {
     let members = engine.directory().members_of(group);
-    survey_members(engine, members, control_for, patience).await
+    survey_members(engine, members, control_for, stragglers).await
 }
 
-/// The same for `members` only.
+/// Like [`survey`], for `members` only.
 pub async fn survey_members(
     engine: &Engine,
     members: Vec<Arc<Member>>,
     control_for: impl Fn(&Member) -> Control,
-    patience: Patience,
-) -> Vec<Surveyed> {
-    let orders = members.iter().map(|member| {
+    stragglers: StragglerPolicy,
+) -> Vec<SurveyedMember> {
+    let controls = members.iter().map(|member| {
         let control = control_for(member);
         async move {
-            let response = order(engine, member, control).await;
+            let response = send_control(engine, member, control).await;
             let member = Arc::clone(member);
-            Surveyed { member, response }
+            SurveyedMember { member, response }
         }
     });
-    let mut running: FuturesUnordered<_> = orders.collect();
-    let mut surveyed: Vec<Surveyed> = Vec::new();
-    let mut until = Instant::now() + ORDER_TIMEOUT + ORDER_TIMEOUT;
+    let mut running: FuturesUnordered<_> = controls.collect();
+    let mut surveyed: Vec<SurveyedMember> = Vec::new();
+    let mut until = Instant::now() + CONTROL_TIMEOUT + CONTROL_TIMEOUT;
     while let Ok(Some(next)) = timeout_at(until, running.next()).await {
         surveyed.push(next);
-        if running.len() <= patience.may_miss {
-            until = until.min(Instant::now() + patience.wait);
+        if running.len() <= stragglers.max_stragglers {
+            until = until.min(Instant::now() + stragglers.grace);
         }
     }
     drop(running);
     let silent = members.into_iter().filter(|member| {
-        let heard = surveyed.iter().any(|known| known.member.id == member.id);
-        !heard
+        let has_answered = surveyed.iter().any(|known| known.member.id == member.id);
+        !has_answered
     });
-    let silent: Vec<Surveyed> = silent
-        .map(|member| Surveyed {
+    let silent: Vec<SurveyedMember> = silent
+        .map(|member| SurveyedMember {
             member,
-            response: Response::Silent("not waited for".to_owned()),
+            response: Response::Silent("skipped as a straggler".to_owned()),
         })
         .collect();
     surveyed.extend(silent);
     surveyed
 }
 
-fn failure(error: &OrderError) -> Response {
+fn response_to_error(error: &ControlError) -> Response {
     let reason = error.to_string();
     match error {
-        OrderError::Connect(ConnectError::Refused(_) | ConnectError::WrongMember) => {
+        ControlError::Connect(ConnectError::Refused(_) | ConnectError::WrongMember) => {
             Response::Down(reason)
         }
-        OrderError::Connect(ConnectError::TooManyConnections | ConnectError::Busy)
-        | OrderError::Acquire(
+        ControlError::Connect(ConnectError::TooManyConnections | ConnectError::Busy)
+        | ControlError::Acquire(
             AcquireError::Exhausted | AcquireError::Shed(_) | AcquireError::SlowStart(_),
         )
-        | OrderError::Link(LinkError::Refused(_)) => Response::Declined(reason),
+        | ControlError::Link(BackEndConnectionError::Refused(_)) => Response::Declined(reason),
         _ => Response::Silent(reason),
     }
 }
--- a/crates/engine/src/leadership/watcher.rs
+++ b/crates/engine/src/leadership/watcher.rs
@@ -1,8 +1,9 @@
-//! Watches the leaders of all groups; the holder of the lease acts, the others report.
+//! Monitors the leaders of all groups. The lease holder acts on suspicions, other processes report
+//! them.
 
-use super::duty::Duty;
-use super::evacuating;
+use super::leader_evacuation;
 use super::promotion::{Promotion, PromotionError};
+use super::promotion_lease::PromotionLease;
 use super::record::TermPhase;
 use super::report;
 use super::suspicion::{self, Suspicion};
@@ -16,70 +17,75 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Interval between two looks at the leaders.
-const LOOK_INTERVAL: Duration = Duration::from_millis(40);
-/// Least time between two reports of one suspicion.
+/// Interval between checks of the leaders.
+const CHECK_INTERVAL: Duration = Duration::from_millis(40);
+/// Minimum time between two reports of the same suspicion.
 const REPORT_INTERVAL: Duration = Duration::from_millis(700);
-/// How long a report counts.
-const REPORT_LIFE: Duration = Duration::from_millis(2_500);
-/// Least number of processes that must suspect a leader which the holder itself finds
-/// well; a third of the fleet where that is more.
-const REPORTERS_NEEDED: usize = 2;
-/// Pause after a leader was asked and found well.
-const VERIFIED_PAUSE: Duration = Duration::from_millis(250);
-/// Pause before a group is looked at again whose commits no replica receives.
+/// How long a report remains valid.
+const REPORT_TTL: Duration = Duration::from_millis(2_500);
+/// Minimum number of processes that must suspect a leader that the lease holder itself finds
+/// healthy; a third of the processes that monitor the group if that is more.
+const MIN_REPORTERS: usize = 2;
+/// Pause after a leader was verified to be healthy.
+const HEALTHY_PAUSE: Duration = Duration::from_millis(250);
+/// Pause before the next check of a group whose commits no replica receives.
 const STALLED_PAUSE: Duration = Duration::from_millis(800);
-/// Pause after a suspicion that another process has to act on.
+/// Pause after a suspicion was reported to the lease holder.
 const REPORTED_PAUSE: Duration = Duration::from_millis(200);
-/// Pause after a promotion that this process could not complete.
+/// Pause after a promotion that failed in this process.
 const FAILED_PAUSE: Duration = Duration::from_millis(120);
 
-/// What the watcher remembers between two looks.
+/// State that the watcher keeps between checks.
 #[derive(Debug, Default)]
-struct Memory {
-    /// Groups that a task is looking after.
+struct WatcherState {
+    /// Groups that a task is checking.
     busy: HashSet<GroupName>,
     /// When a suspicion was last reported.
-    reported: HashMap<GroupName, Instant>,
+    last_reported: HashMap<GroupName, Instant>,
     /// Groups whose leaders are being moved out of evacuated zones.
     moving: HashSet<GroupName>,
-    /// How many of these there may be.
-    moves_at_once: usize,
-    /// Others' suspicions, by group: who, of which epoch, and when this was learned.
+    /// Maximum number of groups in `moving`.
+    max_concurrent_moves: usize,
+    /// Suspicions of other processes by group and reporter, with the epoch of the suspected leader
+    /// and the time at which the report was read.
     reports: HashMap<GroupName, HashMap<NodeName, (Epoch, Instant)>>,
 }
 
-/// Shared by the tasks of the groups.
+/// Shared by the tasks that check the groups.
 #[derive(Debug, Clone)]
 struct Watcher {
     engine: Arc<Engine>,
     promoter: Arc<dyn Promoter>,
-    duty: Arc<Duty>,
-    memory: Arc<Mutex<Memory>>,
+    lease: Arc<PromotionLease>,
+    state: Arc<Mutex<WatcherState>>,
 }
 
-/// Watches until the process ends.
-pub async fn watch(engine: &Arc<Engine>, promoter: &Arc<dyn Promoter>, duty: &Arc<Duty>) {
+/// Monitors the leaders until the process ends.
+pub async fn watch(
+    engine: &Arc<Engine>,
+    promoter: &Arc<dyn Promoter>,
+    lease: &Arc<PromotionLease>,
+) {
     let watcher = Watcher {
         engine: Arc::clone(engine),
         promoter: Arc::clone(promoter),
-        duty: Arc::clone(duty),
-        memory: Arc::default(),
+        lease: Arc::clone(lease),
+        state: Arc::default(),
     };
     let reports = watcher.clone();
-    tokio::spawn(async move { reports.take_reports().await });
+    tokio::spawn(async move { reports.collect_reports().await });
     loop {
-        watcher.look_around();
-        sleep(LOOK_INTERVAL).await;
+        watcher.check_groups();
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
 impl Watcher {
-    /// Looks at the groups about which there is anything to be done. The holder of the lease
-    /// looks at all; any other process at those of the members that it uses.
-    fn look_around(&self) {
-        let holds_duty = self.duty.check().is_some();
-        let mut names = match holds_duty {
+    /// Starts a check of each group that needs one. The lease holder considers all groups, any
+    /// other process those of the members that it uses.
+    fn check_groups(&self) {
+        let holds_lease = self.lease.check().is_some();
+        let mut names = match holds_lease {
             true => self.engine.configured_groups(),
             false => {
                 let pools = self.engine.pools();
@@ -89,19 +95,23 @@
         };
         names.sort();
         names.dedup();
-        if holds_duty {
-            self.memory().moves_at_once = evacuating::moves_at_once(&self.engine, &names);
+        if holds_lease {
+            self.state().max_concurrent_moves =
+                leader_evacuation::max_concurrent_moves(&self.engine, &names);
         }
         for name in names {
-            if self.is_due(&name, holds_duty) {
-                self.look_at(name);
+            if self.needs_check(&name, holds_lease) {
+                self.spawn_check(name);
             }
         }
     }
 
-    /// Whether a look at the group could lead to anything.
-    fn is_due(&self, name: &GroupName, holds_duty: bool) -> bool {
-        if holds_duty && (self.is_unfinished(name) || evacuating::is_wanted(&self.engine, name)) {
+    /// Whether a check of the group could lead to an action.
+    fn needs_check(&self, name: &GroupName, holds_lease: bool) -> bool {
+        if holds_lease
+            && (self.has_unfinished_promotion(name)
+                || leader_evacuation::should_move_leader(&self.engine, name))
+        {
             return true;
         }
         let group = self.engine.group(name);
@@ -118,24 +128,24 @@
         member.is_none_or(|member| suspicion::hint(&self.engine, &group, member, now).is_some())
     }
 
-    /// Looks at one group in a task of its own, unless one does so already.
-    fn look_at(&self, name: GroupName) {
-        if !self.memory().busy.insert(name.clone()) {
+    /// Checks one group in a separate task, unless a check is already running.
+    fn spawn_check(&self, name: GroupName) {
+        if !self.state().busy.insert(name.clone()) {
             return;
         }
         let watcher = self.clone();
         tokio::spawn(async move {
             let group = watcher.engine.group(&name);
-            watcher.look(&group).await;
-            let mut memory = watcher.memory();
-            memory.moving.remove(&name);
-            memory.busy.remove(&name);
+            watcher.check_group(&group).await;
+            let mut state = watcher.state();
+            state.moving.remove(&name);
+            state.busy.remove(&name);
         });
     }
 
-    async fn look(&self, group: &Group) {
-        let holds_duty = self.duty.check().is_some();
-        if holds_duty && self.is_unfinished(group.name()) {
+    async fn check_group(&self, group: &Group) {
+        let holds_lease = self.lease.check().is_some();
+        if holds_lease && self.has_unfinished_promotion(group.name()) {
             self.promote(group.name()).await;
             return;
         }
@@ -145,19 +155,19 @@
         }
         let began = Instant::now();
         let reporters = self.reporters(group.name(), view.epoch);
-        let asked_to = holds_duty && reporters > 0;
-        let verified = suspicion::verified_suspicion(&self.engine, group, &view, asked_to).await;
-        let needed = REPORTERS_NEEDED.max(self.engine.watchers(group.name()).div_ceil(3));
-        let outvoted = reporters >= needed;
-        let mut suspicion = verified.or(outvoted.then_some(Suspicion::Unreachable));
-        if suspicion.is_none() && holds_duty && self.may_move(group.name()).await {
+        let is_reported = holds_lease && reporters > 0;
+        let verified = suspicion::verify(&self.engine, group, &view, is_reported).await;
+        let needed = MIN_REPORTERS.max(self.engine.monitor_count(group.name()).div_ceil(3));
+        let is_reported_by_enough = reporters >= needed;
+        let mut suspicion = verified.or(is_reported_by_enough.then_some(Suspicion::Unreachable));
+        if suspicion.is_none() && holds_lease && self.try_start_move(group.name()).await {
             suspicion = Some(Suspicion::ZoneEvacuated);
         }
         let (Some(suspicion), Some(leader)) = (suspicion, view.leader) else {
             if group.commits_stalled() {
                 sleep(STALLED_PAUSE).await;
-            } else if began.elapsed() > LOOK_INTERVAL {
-                sleep(VERIFIED_PAUSE).await;
+            } else if began.elapsed() > CHECK_INTERVAL {
+                sleep(HEALTHY_PAUSE).await;
             }
             return;
         };
@@ -165,9 +175,9 @@
             return;
         }
         if suspicion == Suspicion::Unreachable
-            && let Some(pool) = self.engine.pool_of(&leader)
+            && let Some(pool) = self.engine.pool_by_id(&leader)
         {
-            pool.lose_idle();
+            pool.mark_unreachable();
         }
         self.engine.events().write(&Event::LeaderSuspected {
             group: group.name().clone(),
@@ -176,39 +186,39 @@
             evidence: suspicion.name(),
             since_ms: millis(began.elapsed()),
         });
-        if self.duty.check().is_some() {
+        if self.lease.check().is_some() {
             self.promote(group.name()).await;
-        } else if self.engine.watches(&leader) {
-            self.duty.want();
+        } else if self.engine.monitors_member(&leader) {
+            self.lease.become_candidate();
             self.report(group.name(), view.epoch, suspicion).await;
             sleep(REPORTED_PAUSE).await;
         }
     }
 
-    /// Whether the leader is to be moved out of an evacuated zone now: few groups at a time
-    /// are without a leader for it.
-    async fn may_move(&self, group: &GroupName) -> bool {
-        if !evacuating::is_wanted(&self.engine, group) {
+    /// Whether the leader is to be moved out of an evacuated zone now. The number of concurrent
+    /// moves is limited, because a group has no leader while it moves.
+    async fn try_start_move(&self, group: &GroupName) -> bool {
+        if !leader_evacuation::should_move_leader(&self.engine, group) {
             return false;
         }
         {
-            let mut memory = self.memory();
-            if memory.moving.len() >= memory.moves_at_once {
+            let mut state = self.state();
+            if state.moving.len() >= state.max_concurrent_moves {
                 return false;
             }
-            memory.moving.insert(group.clone());
+            state.moving.insert(group.clone());
         }
-        let answers = evacuating::successor_answers(&self.engine, group).await;
-        if !answers {
-            // Another group may move meanwhile.
-            self.memory().moving.remove(group);
-            sleep(VERIFIED_PAUSE).await;
+        let has_successor = leader_evacuation::has_caught_up_successor(&self.engine, group).await;
+        if !has_successor {
+            // Lets another group move meanwhile.
+            self.state().moving.remove(group);
+            sleep(HEALTHY_PAUSE).await;
         }
-        answers
+        has_successor
     }
 
-    /// Whether a promotion was begun and not completed.
-    fn is_unfinished(&self, group: &GroupName) -> bool {
+    /// Whether a promotion was begun but not completed.
+    fn has_unfinished_promotion(&self, group: &GroupName) -> bool {
         let known = self.engine.terms().known(group);
         known.is_some_and(|term| term.record.phase != TermPhase::Active)
     }
@@ -217,10 +227,10 @@
         let promotion = Promotion {
             engine: Arc::clone(&self.engine),
             promoter: Arc::clone(&self.promoter),
-            duty: Arc::clone(&self.duty),
+            lease: Arc::clone(&self.lease),
             group: group.clone(),
         };
-        // The record may have changed unseen.
+        // The record may have changed since it was last read.
         let _ = self
             .engine
             .terms()
@@ -228,11 +238,11 @@
             .await;
         let mut result = promotion.run().await;
         while result == Err(PromotionError::TargetLost) {
-            result = promotion.choose_again().await;
+            result = promotion.retry_with_new_target().await;
         }
-        self.memory().reports.remove(group);
+        self.state().reports.remove(group);
         if let Err(error) = result {
-            log::warn!("promotion in {group}: {error}");
+            log::warn!("promotion in group {group} failed: {error}");
             sleep(FAILED_PAUSE).await;
         }
     }
@@ -240,11 +250,11 @@
     async fn report(&self, group: &GroupName, epoch: Epoch, suspicion: Suspicion) {
         let now = Instant::now();
         let due = {
-            let mut memory = self.memory();
-            let last = memory.reported.get(group);
+            let mut state = self.state();
+            let last = state.last_reported.get(group);
             let due = last.is_none_or(|at| now.duration_since(*at) > REPORT_INTERVAL);
             if due {
-                memory.reported.insert(group.clone(), now);
+                state.last_reported.insert(group.clone(), now);
             }
             due
         };
@@ -253,9 +263,9 @@
         }
     }
 
-    /// Learns of suspicions that others record.
-    async fn take_reports(&self) {
-        let mut others = self.engine.terms().subscribe_others();
+    /// Collects the suspicions that other processes record.
+    async fn collect_reports(&self) {
+        let mut others = self.engine.terms().subscribe_other_records();
         let mut versions: HashMap<String, u64> = HashMap::new();
         loop {
             let records = others.borrow_and_update().clone();
@@ -265,8 +275,8 @@
                 else {
                     continue;
                 };
-                let mut memory = self.memory();
-                let of_group = memory.reports.entry(report.group).or_default();
+                let mut state = self.state();
+                let of_group = state.reports.entry(report.group).or_default();
                 of_group.insert(report.reporter, (report.epoch, Instant::now()));
             }
             if others.changed().await.is_err() {
@@ -275,20 +285,20 @@
         }
     }
 
-    /// How many processes suspect the leader of `epoch` now.
+    /// Number of processes that currently suspect the leader of `epoch`.
     fn reporters(&self, group: &GroupName, epoch: Epoch) -> usize {
         let now = Instant::now();
-        let memory = self.memory();
-        let of_group = memory.reports.get(group);
+        let state = self.state();
+        let of_group = state.reports.get(group);
         of_group.map_or(0, |reports| {
             let current = reports.values().filter(|(reported, at)| {
-                *reported == epoch && now.duration_since(*at) < REPORT_LIFE
+                *reported == epoch && now.duration_since(*at) < REPORT_TTL
             });
             current.count()
         })
     }
 
-    fn memory(&self) -> std::sync::MutexGuard<'_, Memory> {
-        self.memory.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> std::sync::MutexGuard<'_, WatcherState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -153,7 +153,7 @@
 fn should_avoid(engine: &Engine, member: &Member, now: Instant) -> bool {
     let share = engine
         .evacuation_schedule()
-        .share_avoiding(&member.zone, now);
+        .diverted_share(&member.zone, now);
     share > 0.0 && rand::random::<f64>() < share
 }
 
@@ -163,7 +163,7 @@
     match state {
         MemberState::Ready | MemberState::Lapsed(_) => false,
         MemberState::Leaving(departure) | MemberState::Gone(departure) => {
-            departure.may_be_older_than(engine.settings().leaving_use, now)
+            departure.may_be_older_than(engine.settings().departure_grace, now)
         }
     }
 }
@@ -178,8 +178,8 @@
 ) -> f64 {
     let health = pool.health();
     let is_lagging = after.is_some_and(|position| health.is_lagging(position, now));
-    let slow_start_used = slow_start::used(engine, pool, now);
-    let is_rate_exhausted = slow_start_used >= 1.0 || health.is_paced(now);
+    let slow_start_used = slow_start::utilization(engine, pool, now);
+    let is_rate_exhausted = slow_start_used >= 1.0 || health.is_slow_start_exhausted(now);
     let cost = MemberCost {
         slow_start_used,
         latency_ms: health.expected_latency_ms(now),
--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -8,14 +8,15 @@
 use crate::home::unit::Unit;
 use crate::leadership::access::renew_evidence;
 use crate::leadership::freshness;
-use crate::leadership::vouching;
+use crate::leadership::term_confirmation;
 use crate::link::frame::{
-    FromHome, HomeOutcome, RunRequest, ToHome, UnitId, Wanted, decode, encode, encode_in_parts,
+    FromHome, HomeOutcome, RequiredFreshness, RunRequest, ToHome, UnitId, decode, encode,
+    encode_in_parts,
 };
 use crate::names::{GroupName, MemberId, RequestId};
-use crate::peers::beliefs;
-use crate::ports::{GroupBelief, PeerLink};
-use crate::rate::counter::Draw;
+use crate::peers::group_snapshots;
+use crate::ports::{GroupSnapshot, PeerLink};
+use crate::rate::counter::PermitReply;
 use crate::statement::TransactionState;
 use bytes::Bytes;
 use std::collections::HashMap;
@@ -108,7 +109,7 @@
                 let task = task.clone();
                 tokio::spawn(async move {
                     let wait = wait.min(MAX_NEWS_WAIT);
-                    let news = Box::new(following::news(&task.engine, known, wait).await);
+                    let news = Box::new(following::updates_since(&task.engine, known, wait).await);
                     let answer = FromHome::News { exchange, news };
                     for part in encode_in_parts(exchange, &answer) {
                         if task.tx.send(part).await.is_err() {
@@ -125,25 +126,25 @@
             }) => {
                 let counters = task.engine.counters();
                 let drawn = match takes {
-                    true => counters.draw(&task.engine, shard, &tenant),
-                    false => counters.look(shard),
+                    true => counters.acquire(&task.engine, shard, &tenant),
+                    false => counters.status(shard),
                 };
-                if drawn == Draw::NotCounted {
-                    counters.want(shard);
+                if drawn == PermitReply::NotCounted {
+                    counters.request_counter(shard);
                 }
                 task.send(&FromHome::Drawn { exchange, drawn }).await;
             }
-            Some(ToHome::Want(shard)) => task.engine.counters().want(shard),
+            Some(ToHome::Want(shard)) => task.engine.counters().request_counter(shard),
             Some(ToHome::CounterLease { shard, record }) => {
-                task.engine.counters().note_told(shard, *record);
+                task.engine.counters().note_announced(shard, *record);
             }
             Some(ToHome::PromotionLease(record)) => {
                 task.engine
-                    .promotion_lease_told()
+                    .announced_promotion_lease()
                     .send_replace(Some(*record));
             }
             Some(ToHome::AskNewestTerm { exchange }) => {
-                let version = vouching::newest_term(&task.engine);
+                let version = term_confirmation::newest_term(&task.engine);
                 task.send(&FromHome::NewestTerm { exchange, version }).await;
             }
             Some(ToHome::Ping) => task.send(&FromHome::Pong).await,
@@ -218,7 +219,7 @@
         loop {
             let exchange = request.exchange;
             let (command, began) = (ForwardedCommand::new(&request), Instant::now());
-            let Some(outcome) = unit.run_for(request, &mut rx).await else {
+            let Some(outcome) = unit.run_unless_abandoned(request, &mut rx).await else {
                 return;
             };
             self.record_outcome(&command, &outcome, began);
@@ -243,32 +244,38 @@
 
     /// Returns what this process knows of `group`, after renewing the information that `wanted`
     /// asks for.
-    async fn group_beliefs(&self, group: GroupName, wanted: Wanted) -> Vec<GroupBelief> {
+    async fn group_beliefs(
+        &self,
+        group: GroupName,
+        wanted: RequiredFreshness,
+    ) -> Vec<GroupSnapshot> {
         if !self.engine.directory().has_group(&group) {
             return Vec::new();
         }
         let state = self.engine.group(&group);
         // Information that cannot be renewed in time is reported as it is.
         let _ = timeout(RENEWAL_TIMEOUT, self.renew(&state, wanted)).await;
-        beliefs(&self.engine, &[group])
+        group_snapshots(&self.engine, &[group])
     }
 
-    async fn renew(&self, group: &Group, wanted: Wanted) {
+    async fn renew(&self, group: &Group, wanted: RequiredFreshness) {
         let now = Instant::now();
         let is_recent = |at: Option<Instant>, age| at.is_some_and(|at| now < at + age);
         if !is_recent(group.evidence(), MAX_EVIDENCE_AGE) {
             match wanted {
-                Wanted::StoreEvidence => {
-                    if !vouching::renew(&self.engine, group).await {
+                RequiredFreshness::StoreEvidence => {
+                    if !term_confirmation::renew(&self.engine, group).await {
                         // Failures are reported by the task that watches the records.
                         let _ = self.engine.terms().refresh(&self.engine, group, now).await;
                     }
                 }
-                Wanted::Evidence | Wanted::Position => renew_evidence(&self.engine, group).await,
+                RequiredFreshness::Evidence | RequiredFreshness::Position => {
+                    renew_evidence(&self.engine, group).await
+                }
             }
         }
-        let covered = group.newest_covering().map(|sample| sample.at);
-        if wanted == Wanted::Position && !is_recent(covered, MAX_POSITION_AGE) {
+        let covered = group.newest_sample().map(|sample| sample.at);
+        if wanted == RequiredFreshness::Position && !is_recent(covered, MAX_POSITION_AGE) {
             freshness::ask_leader(&self.engine, group).await;
         }
     }
--- a/crates/engine/src/session/mod.rs
+++ b/crates/engine/src/session/mod.rs
@@ -23,7 +23,7 @@
 use crate::group::Group;
 use crate::leadership::access;
 use crate::names::{DatabaseName, TenantName};
-use crate::pool::{Claim, SessionValues, Work};
+use crate::pool::{AcquireRequest, SessionStatement, SessionValues};
 use crate::rate::{self, Permit};
 use crate::statement::{Access, PreparedStatement, Reply, Request, Statement, TransactionState};
 use crate::tenant::{Credential, Tenant};
@@ -168,7 +168,7 @@
                 let prepared = prepared.ok_or_else(unknown)?;
                 let access = prepared.access;
                 let arguments = arguments.clone();
-                let work = Work::Prepared {
+                let work = SessionStatement::Prepared {
                     prepared,
                     arguments,
                 };
@@ -185,7 +185,7 @@
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let text = text.clone();
-        let work = Work::Text { text, access };
+        let work = SessionStatement::Text { text, access };
         self.run(request, access, work, trace).await
     }
 
@@ -193,7 +193,7 @@
         &mut self,
         request: &Request,
         access: Access,
-        work: Work,
+        work: SessionStatement,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         self.authorize(request)?;
@@ -253,7 +253,7 @@
         let values = Arc::new(values);
         self.end_outside_regions();
         if let Some(transaction) = &mut self.transaction {
-            transaction.put_values(&values).await?;
+            transaction.apply_values(&values).await?;
         }
         self.values = values;
         Ok(Completion::default())
@@ -290,8 +290,8 @@
     }
 
     /// Returns the claim under which connections are acquired for `route`.
-    fn claim(&self, route: &Route) -> Claim {
-        Claim {
+    fn acquire_request(&self, route: &Route) -> AcquireRequest {
+        AcquireRequest {
             database: self.database.clone(),
             tenant: self.tenant_name().cloned(),
             rank: route.priority,
@@ -311,11 +311,11 @@
         known: Option<Permit>,
         deadlines: StatementDeadlines,
     ) -> Result<Permit, Failure> {
-        if let Some(permit) = known.filter(|permit| permit.is_good(Instant::now())) {
+        if let Some(permit) = known.filter(|permit| permit.is_valid(Instant::now())) {
             return Ok(permit);
         }
         match &self.tenant {
-            Some(tenant) => rate::permit::draw(&self.engine, tenant, deadlines.acquire).await,
+            Some(tenant) => rate::permit::acquire(&self.engine, tenant, deadlines.acquire).await,
             None => Ok(Permit::UNLIMITED),
         }
     }
--- a/crates/engine/src/session/target.rs
+++ b/crates/engine/src/session/target.rs
@@ -9,7 +9,7 @@
 use crate::directory::Member;
 use crate::engine::Engine;
 use crate::group::{Group, UsableLeader};
-use crate::pool::{AcquireError, Claim, MemberPool, PooledConnection};
+use crate::pool::{AcquireError, AcquireRequest, MemberPool, PooledConnection};
 use crate::position::LogPosition;
 use crate::residency::{Allowed, Residency};
 use crate::routing::{ReadCandidate, is_usable, is_use_expired};
@@ -71,11 +71,11 @@
     pub(super) async fn acquire(
         &self,
         engine: &Engine,
-        claim: &Claim,
+        acquire_request: &AcquireRequest,
         until: Instant,
     ) -> Result<PooledConnection, AcquireError> {
-        let connection = self.pool.get().acquire(claim, until).await?;
-        let now = engine.residency(&claim.database, claim.tenant.as_ref());
+        let connection = self.pool.get().acquire(acquire_request, until).await?;
+        let now = engine.residency(&acquire_request.database, acquire_request.tenant.as_ref());
         if !is_still_allowed(engine, self.pool(), self.residency(), &now) {
             return Err(AcquireError::OutsideRegions);
         }
@@ -97,7 +97,7 @@
     chosen: &Residency,
     now: &Residency,
 ) -> bool {
-    if now.includes(chosen) {
+    if now.is_superset_of(chosen) {
         return true;
     }
     let topology = &engine.settings().topology;
@@ -198,6 +198,6 @@
             return route.clone();
         };
         let newest = configuration.and_then(|c| c.tenants.get(&tenant.name));
-        route.and(&newest.unwrap_or(tenant).residency)
+        route.intersection(&newest.unwrap_or(tenant).residency)
     }
 }
--- a/crates/engine/src/session/transaction/mod.rs
+++ b/crates/engine/src/session/transaction/mod.rs
@@ -11,7 +11,7 @@
 use crate::engine::Engine;
 use crate::group::{Group, UsableLeader};
 use crate::names::{RequestId, TenantName};
-use crate::pool::{PooledConnection, RunError, SessionValues, Work};
+use crate::pool::{PooledConnection, RunError, SessionStatement, SessionValues};
 use crate::ports::{Answer, Command, Refusal, RefusalKind};
 use crate::residency::Residency;
 use crate::session::target::is_still_allowed;
@@ -99,12 +99,12 @@
     }
 
     /// Applies changed session variables to the connection, if it is open.
-    pub(super) async fn put_values(&mut self, values: &SessionValues) -> Result<(), Failure> {
+    pub(super) async fn apply_values(&mut self, values: &SessionValues) -> Result<(), Failure> {
         let Stage::Open(open) = &mut self.stage else {
             return Ok(());
         };
         let until = Instant::now() + self.route.timeout;
-        match timeout_at(until, open.connection.put_values(values)).await {
+        match timeout_at(until, open.connection.apply_values(values)).await {
             Ok(Ok(())) => Ok(()),
             _ => {
                 self.stage = Stage::Failed;
@@ -143,7 +143,7 @@
         &mut self,
         request: &Request,
         access: Access,
-        work: Work,
+        work: SessionStatement,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let Some(mut transaction) = self.transaction.take() else {
@@ -251,14 +251,14 @@
     mut open: OpenTransaction,
     request: &Request,
     access: Access,
-    work: &Work,
+    work: &SessionStatement,
     trace: &mut RequestTrace,
 ) -> Result<Completion, Failure> {
     let deadlines = StatementDeadlines::new(&transaction.route, request.received);
     let member = open.connection.pool().member().id.clone();
     loop {
         let sent = Instant::now();
-        let running = open.connection.run_work(&request.id, work, None);
+        let running = open.connection.run_statement(&request.id, work, None);
         let answer = await_in_time(running, deadlines.answer)
             .await
             .into_answer(open.connection.pool(), sent, trace)
@@ -299,7 +299,7 @@
     let connection = &mut open.connection;
     let running = async {
         loop {
-            let answer = connection.run(&commit).await.map_err(RunError::After)?;
+            let answer = connection.run(&commit).await.map_err(RunError::AfterSend)?;
             let busy = matches!(&answer.outcome, Err(r) if r.kind == RefusalKind::Busy);
             let time_left = Instant::now() + RETRY_PAUSE < deadlines.acquire;
             if !(busy && time_left && answer.state == TransactionState::Open) {
--- a/crates/engine/src/session/transaction/opening.rs
+++ b/crates/engine/src/session/transaction/opening.rs
@@ -4,7 +4,7 @@
 use crate::configuration::Consistency;
 use crate::group::UsableLeader;
 use crate::leadership::access;
-use crate::pool::{Claim, PooledConnection, RunError, Work};
+use crate::pool::{AcquireRequest, PooledConnection, RunError, SessionStatement};
 use crate::ports::{Command, RefusalKind};
 use crate::session::evacuated::check_route;
 use crate::session::limits::StatementDeadlines;
@@ -43,11 +43,11 @@
         transaction: &mut Transaction,
         request: &Request,
         access: Access,
-        work: Option<Work>,
+        work: Option<SessionStatement>,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let deadlines = self.deadlines(&transaction.route, &transaction.group, request.received);
-        let claim = self.claim(&transaction.route);
+        let acquire_request = self.acquire_request(&transaction.route);
         let mut permit = None;
         loop {
             let consistency = match transaction.read_only {
@@ -62,7 +62,8 @@
                 let drawn = self.permit(permit, deadlines).await?;
                 permit = Some(drawn);
                 let until = deadlines.within_permit(drawn).acquire;
-                let acquiring = acquire_first(&self.engine, &candidates.targets, &claim, until);
+                let acquiring =
+                    acquire_first(&self.engine, &candidates.targets, &acquire_request, until);
                 let AcquiredConnection { index, connection } = match acquiring.await {
                     Ok(offer) => offer,
                     Err(failures) => {
@@ -81,7 +82,7 @@
                     work: work.as_ref(),
                     deadlines,
                 };
-                match open_on_member(transaction, chosen, &claim, first, trace).await {
+                match open_on_member(transaction, chosen, &acquire_request, first, trace).await {
                     Attempt::Decided(outcome) => return outcome,
                     Attempt::NotRun(latest) => reason = latest,
                 }
@@ -135,7 +136,7 @@
     request: &'a Request,
     access: Access,
     /// `None` if the transaction is committed without a statement.
-    work: Option<&'a Work>,
+    work: Option<&'a SessionStatement>,
     deadlines: StatementDeadlines,
 }
 
@@ -143,7 +144,7 @@
 async fn open_on_member(
     transaction: &mut Transaction,
     chosen: ChosenMember,
-    claim: &Claim,
+    acquire_request: &AcquireRequest,
     first: FirstStatement<'_>,
     trace: &mut RequestTrace,
 ) -> Attempt<Completion> {
@@ -160,12 +161,12 @@
     };
     let known = transaction.group.as_leader(&member);
     let reached = known.as_ref();
-    let reached = reached.and_then(|leader| transaction.group.reached_by(leader));
+    let reached = reached.and_then(|leader| transaction.group.known_position(leader));
     let sent = Instant::now();
     let opening = async {
-        let applied = connection.put_values(&claim.values).await;
-        applied.map_err(RunError::Before)?;
-        connection.run(&begin).await.map_err(RunError::Before)
+        let applied = connection.apply_values(&acquire_request.values).await;
+        applied.map_err(RunError::BeforeSend)?;
+        connection.run(&begin).await.map_err(RunError::BeforeSend)
     };
     let awaited = await_in_time(opening, first.deadlines.acquire).await;
     let answer = match awaited.into_answer(pool, sent, trace) {
@@ -191,7 +192,7 @@
     if let Some(leader) = &leader {
         transaction.group.confirm_leader(leader);
     }
-    transaction.tenant = claim.tenant.clone();
+    transaction.tenant = acquire_request.tenant.clone();
     let open = OpenTransaction {
         connection,
         leader,
@@ -209,13 +210,13 @@
 async fn run_first_statement(
     transaction: &mut Transaction,
     mut open: OpenTransaction,
-    work: &Work,
+    work: &SessionStatement,
     first: &FirstStatement<'_>,
     trace: &mut RequestTrace,
 ) -> Attempt<Completion> {
     let member = open.connection.pool().member().id.clone();
     let sent = Instant::now();
-    let running = open.connection.run_work(&first.request.id, work, None);
+    let running = open.connection.run_statement(&first.request.id, work, None);
     let awaited = await_in_time(running, first.deadlines.answer).await;
     let answer = match awaited.into_answer(open.connection.pool(), sent, trace) {
         Ok(answer) => answer,
--- a/crates/engine/src/telemetry.rs
+++ b/crates/engine/src/telemetry.rs
@@ -2,7 +2,7 @@
 //! things happen; gauges are read when somebody asks for the metrics.
 
 use crate::engine::Engine;
-use crate::leadership::evacuating;
+use crate::leadership::leader_evacuation;
 use tokio::time::Instant;
 
 /// What a metric is.
@@ -212,7 +212,7 @@
     let directory = engine.directory();
     metrics::gauge!("stilequay_directory_version").set(directory.version as f64);
     metrics::gauge!("stilequay_processes").set(engine.processes() as f64);
-    let shards = engine.counters().counted().count();
+    let shards = engine.counters().counted_shards().count();
     metrics::gauge!("stilequay_rate_shards_counted").set(shards as f64);
     if let Some(at) = engine.following().configuration_complete_as_of() {
         let age = Instant::now().saturating_duration_since(at).as_secs_f64();
@@ -244,12 +244,12 @@
     let groups = engine.directory().groups();
     let there = groups
         .iter()
-        .filter(|group| evacuating::leader_there(engine, group).is_some());
+        .filter(|group| leader_evacuation::leader_in_evacuated_zone(engine, group).is_some());
     metrics::gauge!("stilequay_evacuated_leaders").set(there.count() as f64);
 }
 
 /// Zeroes the gauges of a member that is no longer known.
-pub fn forget_member(member: &str) {
+pub fn reset_member_gauges(member: &str) {
     PoolGauges::default().record(member);
 }
 
--- a/crates/engine/tests/server_lives.rs
+++ b/crates/engine/tests/server_lives.rs
@@ -6,7 +6,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 use stilequay_engine::directory::{Departure, Directory, DirectoryChange, MemberState, Role};
-use stilequay_engine::names::{MemberId, are_lives_of_one, life_of, server_of};
+use stilequay_engine::names::{
+    MemberId, are_incarnations_of_same_server, incarnation_id, server_name,
+};
 use support::history::History;
 use support::servers::World;
 use support::{Fleet, GROUP, LEADER_DATABASE, seen, until};
@@ -18,21 +20,21 @@
 #[case::like_one_with_a_start("s-1@17", None, "s-1@17@")]
 #[case::like_one_and_with_a_start("s-1@17", Some(4), "s-1@17@4")]
 fn a_life_names_its_server(#[case] server: &str, #[case] born: Option<u64>, #[case] life: &str) {
-    assert_eq!(&*life_of(server, born), life);
-    assert_eq!(server_of(life), server);
+    assert_eq!(&*incarnation_id(server, born), life);
+    assert_eq!(server_name(life), server);
 }
 
 #[test]
 fn only_other_lives_of_the_same_server_are_told_apart() {
     let id = |text: &str| MemberId::from(text);
-    assert!(are_lives_of_one(&id("s@1"), &id("s@2")));
-    assert!(are_lives_of_one(&id("s@2"), &id("s")));
-    assert!(!are_lives_of_one(&id("s@1"), &id("s@1")));
-    assert!(!are_lives_of_one(&id("s@1"), &id("t@2")));
+    assert!(are_incarnations_of_same_server(&id("s@1"), &id("s@2")));
+    assert!(are_incarnations_of_same_server(&id("s@2"), &id("s")));
+    assert!(!are_incarnations_of_same_server(&id("s@1"), &id("s@1")));
+    assert!(!are_incarnations_of_same_server(&id("s@1"), &id("t@2")));
 }
 
 fn known(world: &World) -> Directory {
-    Directory::default().replaced(1, world.entries(), Departure::at(Instant::now()))
+    Directory::default().with_entries(1, world.entries(), Departure::at(Instant::now()))
 }
 
 #[test]
@@ -50,9 +52,9 @@
         changed: 2,
     };
     let changes = next.chain([ended]).collect();
-    let after = before.updated(2, changes, Departure::at(Instant::now()));
-    assert!(!before.has_ended(&first));
-    assert!(after.has_ended(&first));
+    let after = before.with_changes(2, changes, Departure::at(Instant::now()));
+    assert!(!before.has_restarted(&first));
+    assert!(after.has_restarted(&first));
     assert!(after.member("a@1").is_some_and(|member| member.is_gone()));
     // It says that it leads, and is not taken for the leader that it was.
     let acting = after.acting_member(GROUP, "a@1", Some(first.address));
@@ -159,8 +161,8 @@
     let life = Arc::clone(engine.directory().member("b@1").expect("a member"));
     let pool = engine.pool(&life);
     fleet.world.start_anew("b");
-    until(|| engine.directory().has_ended(&life)).await;
-    let order = pool.order(stilequay_engine::ports::Control::Status).await;
+    until(|| engine.directory().has_restarted(&life)).await;
+    let order = pool.control(stilequay_engine::ports::Control::Status).await;
     assert!(order.is_err(), "{order:?}");
     assert!(matches!(
         engine.directory().member("b@1").map(|member| member.state),
--- a/crates/engine/tests/support/mod.rs
+++ b/crates/engine/tests/support/mod.rs
@@ -222,8 +222,8 @@
             topology: Topology::new(Arc::from(zone), (self.regions)(name)),
             peer_address: Some(MemoryPeers::address_of(name)),
             weight: 1.0,
-            contact: Duration::from_secs(4),
-            leaving_use: Duration::from_secs(4),
+            propagation_bound: Duration::from_secs(4),
+            departure_grace: Duration::from_secs(4),
             configuration_bound: Duration::from_secs(3),
             evacuation_bound: self.evacuation_bound,
             slow_start: SlowStartBounds {
@@ -272,7 +272,7 @@
     }
 
     pub fn directory(&self) -> Directory {
-        Directory::default().replaced(1, self.world.entries(), Departure::at(Instant::now()))
+        Directory::default().with_entries(1, self.world.entries(), Departure::at(Instant::now()))
     }
 
     /// Lets a process stand still, or go on.
@@ -359,17 +359,22 @@
             continue;
         }
         let now = Instant::now();
-        engine.following().heard(Feed::Configuration, now, version);
+        engine
+            .following()
+            .mark_current(Feed::Configuration, now, version);
         if records.serves(&engine.settings().node) {
             engine.set_evacuations(operator.evacuations.borrow().clone());
             engine.set_configuration(operator.configuration.borrow().clone());
             engine.following().prove_configuration(now);
         }
-        engine.following().heard(Feed::Directory, now, version);
-        let next =
-            engine
-                .directory()
-                .replaced(version, world.entries(), Departure::at(Instant::now()));
+        engine
+            .following()
+            .mark_current(Feed::Directory, now, version);
+        let next = engine.directory().with_entries(
+            version,
+            world.entries(),
+            Departure::at(Instant::now()),
+        );
         engine.set_directory(next);
     }
 }
