--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -97,7 +97,7 @@
             }) => {
                 let task = task.clone();
                 tokio::spawn(async move {
-                    let beliefs = task.group_beliefs(group, wanted).await;
+                    let beliefs = task.renewed_snapshots(group, wanted).await;
                     task.send(&FromHome::Beliefs { exchange, beliefs }).await;
                 });
             }
@@ -244,7 +244,7 @@
 
     /// Returns what this process knows of `group`, after renewing the information that `wanted`
     /// asks for.
-    async fn group_beliefs(
+    async fn renewed_snapshots(
         &self,
         group: GroupName,
         wanted: RequiredFreshness,
--- a/crates/engine/src/session/mod.rs
+++ b/crates/engine/src/session/mod.rs
@@ -168,11 +168,11 @@
                 let prepared = prepared.ok_or_else(unknown)?;
                 let access = prepared.access;
                 let arguments = arguments.clone();
-                let work = SessionStatement::Prepared {
+                let statement = SessionStatement::Prepared {
                     prepared,
                     arguments,
                 };
-                self.run(request, access, work, trace).await
+                self.run(request, access, statement, trace).await
             }
         }
     }
@@ -185,27 +185,29 @@
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let text = text.clone();
-        let work = SessionStatement::Text { text, access };
-        self.run(request, access, work, trace).await
+        let statement = SessionStatement::Text { text, access };
+        self.run(request, access, statement, trace).await
     }
 
     async fn run(
         &mut self,
         request: &Request,
         access: Access,
-        work: SessionStatement,
+        statement: SessionStatement,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         self.authorize(request)?;
         trace.set_tenant(self.tenant_name());
         if self.transaction.is_some() {
-            return self.run_in_transaction(request, access, work, trace).await;
+            return self
+                .run_in_transaction(request, access, statement, trace)
+                .await;
         }
         let route = self.route()?;
         trace.set_route(&self.engine, &route);
         match access {
-            Access::Read => self.run_read(request, &route, work, trace).await,
-            Access::Write => self.run_write(request, &route, work, trace).await,
+            Access::Read => self.run_read(request, &route, statement, trace).await,
+            Access::Write => self.run_write(request, &route, statement, trace).await,
         }
     }
 
@@ -289,7 +291,7 @@
         }
     }
 
-    /// Returns the claim under which connections are acquired for `route`.
+    /// Returns the request with which connections are acquired under `route`.
     fn acquire_request(&self, route: &Route) -> AcquireRequest {
         AcquireRequest {
             database: self.database.clone(),
--- a/crates/engine/src/session/read.rs
+++ b/crates/engine/src/session/read.rs
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone)]
 struct ReadJob {
     id: RequestId,
-    work: SessionStatement,
+    statement: SessionStatement,
     acquire_request: AcquireRequest,
     group: Arc<Group>,
     deadlines: StatementDeadlines,
@@ -82,14 +82,14 @@
         &mut self,
         request: &Request,
         route: &Arc<Route>,
-        work: SessionStatement,
+        statement: SessionStatement,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let group = self.engine.group(&route.group);
         let deadlines = self.deadlines(route, &group, request.received);
         let job = ReadJob {
             id: request.id.clone(),
-            work,
+            statement,
             acquire_request: self.acquire_request(route),
             group: Arc::clone(&group),
             deadlines,
@@ -307,7 +307,7 @@
         let applied = connection.apply_values(&job.acquire_request.values).await;
         applied.map_err(RunError::BeforeSend)?;
         connection
-            .run_statement(&job.id, &job.work, target.after)
+            .run_statement(&job.id, &job.statement, target.after)
             .await
     };
     let answer = match timeout_at(job.deadlines.answer, running).await {
--- a/crates/engine/src/session/transaction/mod.rs
+++ b/crates/engine/src/session/transaction/mod.rs
@@ -143,7 +143,7 @@
         &mut self,
         request: &Request,
         access: Access,
-        work: SessionStatement,
+        statement: SessionStatement,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let Some(mut transaction) = self.transaction.take() else {
@@ -155,11 +155,11 @@
             Stage::Failed => Err(Failure::rejected(FailureReason::OutOfPlace)),
             Stage::Aborted(failure) => Err(failure),
             Stage::Pending => {
-                self.open_transaction(&mut transaction, request, access, Some(work), trace)
+                self.open_transaction(&mut transaction, request, access, Some(statement), trace)
                     .await
             }
             Stage::Open(open) => {
-                run_in_open(&mut transaction, open, request, access, &work, trace).await
+                run_in_open(&mut transaction, open, request, access, &statement, trace).await
             }
         };
         transaction.idle_since = Instant::now();
@@ -251,14 +251,14 @@
     mut open: OpenTransaction,
     request: &Request,
     access: Access,
-    work: &SessionStatement,
+    statement: &SessionStatement,
     trace: &mut RequestTrace,
 ) -> Result<Completion, Failure> {
     let deadlines = StatementDeadlines::new(&transaction.route, request.received);
     let member = open.connection.pool().member().id.clone();
     loop {
         let sent = Instant::now();
-        let running = open.connection.run_statement(&request.id, work, None);
+        let running = open.connection.run_statement(&request.id, statement, None);
         let answer = await_in_time(running, deadlines.answer)
             .await
             .into_answer(open.connection.pool(), sent, trace)
--- a/crates/engine/src/session/transaction/opening.rs
+++ b/crates/engine/src/session/transaction/opening.rs
@@ -43,7 +43,7 @@
         transaction: &mut Transaction,
         request: &Request,
         access: Access,
-        work: Option<SessionStatement>,
+        statement: Option<SessionStatement>,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let deadlines = self.deadlines(&transaction.route, &transaction.group, request.received);
@@ -79,7 +79,7 @@
                 let first = FirstStatement {
                     request,
                     access,
-                    work: work.as_ref(),
+                    statement: statement.as_ref(),
                     deadlines,
                 };
                 match open_on_member(transaction, chosen, &acquire_request, first, trace).await {
@@ -136,7 +136,7 @@
     request: &'a Request,
     access: Access,
     /// `None` if the transaction is committed without a statement.
-    work: Option<&'a SessionStatement>,
+    statement: Option<&'a SessionStatement>,
     deadlines: StatementDeadlines,
 }
 
@@ -199,24 +199,26 @@
         residency: target.residency().clone(),
         wrote: false,
     };
-    let Some(work) = first.work else {
+    let Some(statement) = first.statement else {
         transaction.stage = Stage::Open(open);
         return Attempt::Decided(Ok(Completion::default()));
     };
-    run_first_statement(transaction, open, work, &first, trace).await
+    run_first_statement(transaction, open, statement, &first, trace).await
 }
 
 /// Runs the first statement of a newly opened transaction.
 async fn run_first_statement(
     transaction: &mut Transaction,
     mut open: OpenTransaction,
-    work: &SessionStatement,
+    statement: &SessionStatement,
     first: &FirstStatement<'_>,
     trace: &mut RequestTrace,
 ) -> Attempt<Completion> {
     let member = open.connection.pool().member().id.clone();
     let sent = Instant::now();
-    let running = open.connection.run_statement(&first.request.id, work, None);
+    let running = open
+        .connection
+        .run_statement(&first.request.id, statement, None);
     let awaited = await_in_time(running, first.deadlines.answer).await;
     let answer = match awaited.into_answer(open.connection.pool(), sent, trace) {
         Ok(answer) => answer,
--- a/crates/engine/src/session/write.rs
+++ b/crates/engine/src/session/write.rs
@@ -22,7 +22,7 @@
 /// A write that is sent to a leader.
 struct WriteJob<'a> {
     id: &'a RequestId,
-    work: &'a SessionStatement,
+    statement: &'a SessionStatement,
     acquire_request: AcquireRequest,
     group: &'a Group,
     deadlines: StatementDeadlines,
@@ -107,7 +107,7 @@
         &mut self,
         request: &Request,
         route: &Arc<Route>,
-        work: SessionStatement,
+        statement: SessionStatement,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let group = self.engine.group(&route.group);
@@ -133,7 +133,7 @@
             permit = Some(drawn);
             let job = WriteJob {
                 id: &request.id,
-                work: &work,
+                statement: &statement,
                 acquire_request: self.acquire_request(route),
                 group: &group,
                 deadlines: StatementDeadlines::new(route, request.received).within_permit(drawn),
@@ -171,7 +171,7 @@
         if !target.pool().is_remote() {
             group.record_commit_sent(sent);
         }
-        let running = connection.run_statement(job.id, job.work, None);
+        let running = connection.run_statement(job.id, job.statement, None);
         let awaited = await_answer(running, group, leader, deadlines.answer).await;
         self.write_outcome(awaited, connection, group, leader, sent, trace)
     }
