--- a/crates/engine/src/leadership/promotion.rs
+++ b/crates/engine/src/leadership/promotion.rs
@@ -104,7 +104,7 @@
         Ok(())
     }
 
-    /// Gives up the target of a promotion that was begun, and fences and chooses again.
+    /// Gives up the target of a promotion that was begun, and starts over with a new epoch.
     ///
     /// # Errors
     ///
--- a/crates/engine/src/leadership/promotion_lease.rs
+++ b/crates/engine/src/leadership/promotion_lease.rs
@@ -115,9 +115,9 @@
         *held = lease;
         let current = held.as_ref().map(Lease::fencing);
         self.fencing.send_if_modified(|known| {
-            let is_other = *known != current;
+            let is_changed = *known != current;
             *known = current;
-            is_other
+            is_changed
         });
         metrics::gauge!("stilequay_promotion_lease_held").set(f64::from(u8::from(held.is_some())));
         if changed {
@@ -223,8 +223,8 @@
 /// acquires the lease within 1.5 s after its holder is killed, instead of 1.6 to 1.9 s.
 async fn notify_candidates(engine: &Engine, record: &LeaseRecord) {
     let addresses = engine.homes().lease_candidate_addresses(CANDIDATES);
-    let tell = |link: &Link| link.tell_promotion_lease(record);
-    engine.homes().links().tell_each(addresses, tell).await;
+    let announce = |link: &Link| link.tell_promotion_lease(record);
+    engine.homes().links().tell_each(addresses, announce).await;
 }
 
 /// How long the candidate of `rank` waits for those ranked before it. The first one is usually
--- a/crates/engine/src/leadership/suspicion.rs
+++ b/crates/engine/src/leadership/suspicion.rs
@@ -154,8 +154,8 @@
         }
     }
     // A leader that is slow to answer status requests may still answer statements.
-    let heard = engine.pool(leader).health().heard_at();
-    let is_alive = heard.is_some_and(|at| at >= began);
+    let last_heard = engine.pool(leader).health().heard_at();
+    let is_alive = last_heard.is_some_and(|at| at >= began);
     (!is_alive).then_some(Suspicion::Unreachable)
 }
 
