--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -19,7 +19,7 @@
 use crate::rate::permit::Refusals;
 use crate::residency::{Allowed, Residency, report_unknown_regions};
 use crate::slow_start::SlowStarts;
-use crate::slow_start::guard::GuardedBackEnd;
+use crate::slow_start::back_end::SlowStartBackEnd;
 use crate::telemetry;
 use crate::tenant::TenantPolicy;
 use crate::topology::Topology;
@@ -35,16 +35,16 @@
 
 /// Share of the contact time for which a call waits for changes: entries, configuration,
 /// records.
-const FEED_CONTACT_SHARE: f64 = 0.4;
+const FEED_PROPAGATION_SHARE: f64 = 0.4;
 /// The same where others learn of the changes from this process: they wait too.
-const RELAYED_FEED_CONTACT_SHARE: f64 = 0.3;
+const RELAYED_FEED_PROPAGATION_SHARE: f64 = 0.3;
 /// Processes assumed before the fleet is known.
-const FIRST_PROCESSES: usize = 9;
+const INITIAL_PROCESSES: usize = 9;
 /// Configurations that are remembered, to tell others what has changed since: changes come
 /// some sixteen a second at the most, and others ask at least once a second.
-const RECENT_CONFIGURATIONS: usize = 16;
+const CONFIGURATION_HISTORY: usize = 16;
 /// Connections that a member is assumed to accept before the configuration is known.
-const FIRST_MEMBER_CONNECTIONS: usize = 30;
+const INITIAL_MEMBER_CONNECTIONS: usize = 30;
 
 /// Reads that may be sent to a second member because the first is silent.
 const HEDGE_BUDGET: RetryBudgetSettings = RetryBudgetSettings {
@@ -68,9 +68,9 @@
     pub weight: f64,
     /// Time within which a change in the store must be learned of, also where the call that
     /// was to tell it is never answered.
-    pub contact: Duration,
+    pub propagation_bound: Duration,
     /// How long a member that leaves, or has left, may still be given work.
-    pub leaving_use: Duration,
+    pub departure_grace: Duration,
     /// Time within which a change of the configuration must be acted on.
     pub configuration_bound: Duration,
     /// Time within which an evacuation must be acted on; `None` where zones are not evacuated.
@@ -161,7 +161,7 @@
         let schedule = Schedule::new(settings.evacuation_bound, following.subscribe_proof());
         Arc::new_cyclic(|engine| Self {
             settings,
-            back_end: Arc::new(GuardedBackEnd::new(Weak::clone(engine), back_end)),
+            back_end: Arc::new(SlowStartBackEnd::new(Weak::clone(engine), back_end)),
             peers,
             remote_pools: Mutex::default(),
             homes: Arc::new(homes),
@@ -184,7 +184,7 @@
             stop: watch::Sender::new(StopPhase::Serving),
             events: EventLog::default(),
             hedges: RetryBudget::new(HEDGE_BUDGET),
-            processes: AtomicUsize::new(FIRST_PROCESSES),
+            processes: AtomicUsize::new(INITIAL_PROCESSES),
         })
     }
 
@@ -237,27 +237,27 @@
             let later = current.as_ref().is_none_or(|known| known.version < version);
             if later {
                 // Before anybody learns of it: cold members are counted from then on.
-                self.slow_starts.configured(&configuration);
+                self.slow_starts.apply_configuration(&configuration);
                 *current = Some(Arc::clone(&configuration));
             }
             later
         });
         if taken {
             report_unknown_regions(&self.settings.topology, &configuration);
-            self.forget_restricted_pools();
-            self.counters.configured(self, &configuration);
-            self.remember_configuration(configuration);
-            self.divide_connections();
+            self.clear_restricted_pools();
+            self.counters.apply_configuration(self, &configuration);
+            self.retain_configuration(configuration);
+            self.update_connection_limits();
             self.events
                 .write(&Event::ConfigurationTaken { version, routes });
         }
         taken
     }
 
-    fn remember_configuration(&self, configuration: Arc<Configuration>) {
+    fn retain_configuration(&self, configuration: Arc<Configuration>) {
         let mut recent = lock(&self.recent_configurations);
         recent.push_back(configuration);
-        if recent.len() > RECENT_CONFIGURATIONS {
+        if recent.len() > CONFIGURATION_HISTORY {
             recent.pop_front();
         }
     }
@@ -293,8 +293,9 @@
             if later {
                 changed = current.zones != zones;
                 // First: the zone's members are cold by the moment at which it is open again.
-                self.slow_starts.evacuated(current, &evacuations);
-                self.evacuation_schedule.take(&zones, Instant::now());
+                self.slow_starts.apply_evacuations(current, &evacuations);
+                self.evacuation_schedule
+                    .set_evacuated(&zones, Instant::now());
                 *current = Arc::new(evacuations);
             }
             later
@@ -343,21 +344,21 @@
                 });
             }
         }
-        self.close_pools_except(&directory);
+        self.close_obsolete_pools(&directory);
         self.directory.send_replace(Arc::new(directory));
     }
 
     /// Takes members for gone whose entries have lapsed for too long.
-    pub fn end_lapses(&self) {
-        if let Some(next) = self.directory().after_lapses(Instant::now()) {
+    pub fn expire_lapsed_members(&self) {
+        if let Some(next) = self.directory().without_expired_lapses(Instant::now()) {
             self.set_directory(next);
         }
     }
 
     /// Takes `members` into the directory, those of them whose entries it does not know.
-    pub fn remember_members(&self, members: Vec<Member>) {
+    pub fn add_missing_members(&self, members: Vec<Member>) {
         self.directory.send_if_modified(|directory| {
-            let next = directory.remembering(members);
+            let next = directory.with_unknown(members);
             let changed = next.is_some();
             if let Some(next) = next {
                 *directory = Arc::new(next);
@@ -416,18 +417,18 @@
     /// Takes the number of processes in the fleet, and divides the members' connections.
     pub fn set_processes(&self, processes: usize) {
         self.processes.store(processes, Ordering::Relaxed);
-        self.divide_connections();
+        self.update_connection_limits();
     }
 
     /// How long one call that waits for changes in the store may wait: short enough that a
     /// call that is never answered is noticed in time, by those too that learn of changes
     /// from others.
-    pub fn feed_wait(&self) -> Duration {
-        let share = match following::follows_others(self) {
-            true => RELAYED_FEED_CONTACT_SHARE,
-            false => FEED_CONTACT_SHARE,
+    pub fn watch_timeout(&self) -> Duration {
+        let share = match following::uses_relays(self) {
+            true => RELAYED_FEED_PROPAGATION_SHARE,
+            false => FEED_PROPAGATION_SHARE,
         };
-        self.settings.contact.mul_f64(share)
+        self.settings.propagation_bound.mul_f64(share)
     }
 
     /// Processes in the fleet, as far as is known.
@@ -475,7 +476,7 @@
         &self.homes
     }
 
-    fn divide_connections(&self) {
+    fn update_connection_limits(&self) {
         for pool in lock(&self.pools).values() {
             pool.set_limit(self.connection_share(pool.member()));
         }
@@ -487,7 +488,7 @@
         let settings = configuration.as_ref();
         let settings = settings.and_then(|c| c.groups.get(&member.group));
         Capacity {
-            connections: settings.map_or(FIRST_MEMBER_CONNECTIONS, |s| s.member_connections),
+            connections: settings.map_or(INITIAL_MEMBER_CONNECTIONS, |s| s.member_connections),
             slots: Some(member.slots).filter(|slots| *slots > 0),
         }
     }
@@ -495,44 +496,46 @@
     fn connection_share(&self, member: &Member) -> usize {
         let capacity = self.capacity(member);
         let processes = self.processes();
-        if capacity.suffices_for(processes) {
+        if capacity.allows_direct_connections(processes) {
             return connection_share(capacity.connections, processes);
         }
         match self.homes.is_candidate(member) {
-            true => capacity.home_share(),
-            false => placement::LEAST_SHARE,
+            true => capacity.connections_per_home(),
+            false => placement::MIN_PROCESS_CONNECTIONS,
         }
     }
 
     /// Whether this process runs its sessions' statements at `member` over connections of
     /// its own: it is one of its homes, or the fleet is so small that it needs none.
-    pub fn connects_itself(&self, member: &Member) -> bool {
-        self.all_connect(member) || self.homes.is_home(member)
+    pub fn connects_directly(&self, member: &Member) -> bool {
+        self.all_connect_directly(member) || self.homes.is_home(member)
     }
 
     /// Whether all processes run their sessions' statements at `member` over connections of
     /// their own.
-    pub fn all_connect(&self, member: &Member) -> bool {
-        self.capacity(member).suffices_for(self.processes())
+    pub fn all_connect_directly(&self, member: &Member) -> bool {
+        self.capacity(member)
+            .allows_direct_connections(self.processes())
     }
 
     /// Whether this process may have connections to the member called `id`, so that its
     /// traffic tells whether the member answers.
-    pub fn watches(&self, id: &str) -> bool {
+    pub fn monitors_member(&self, id: &str) -> bool {
         let directory = self.directory();
         let member = directory.member(id);
-        member.is_none_or(|member| self.connects_itself(member) || self.homes.is_candidate(member))
+        member
+            .is_none_or(|member| self.connects_directly(member) || self.homes.is_candidate(member))
     }
 
     /// Processes that watch each member of `group`.
-    pub fn watchers(&self, group: &str) -> usize {
+    pub fn monitor_count(&self, group: &str) -> usize {
         let directory = self.directory();
         let members = directory.members_of(group);
         let capacity = members.first().map(|member| self.capacity(member));
         let processes = self.processes();
-        match capacity.is_none_or(|capacity| capacity.suffices_for(processes)) {
+        match capacity.is_none_or(|capacity| capacity.allows_direct_connections(processes)) {
             true => processes,
-            false => placement::HOMES,
+            false => placement::HOMES_PER_MEMBER,
         }
     }
 
@@ -540,7 +543,7 @@
     /// apart for each set of regions: each goes through one process for a while.
     pub fn session_pool(&self, allowed: &Allowed<Arc<Member>>) -> Allowed<Arc<MemberPool>> {
         let member = allowed.get();
-        if self.connects_itself(member) {
+        if self.connects_directly(member) {
             return allowed.with(self.pool(member));
         }
         let residency = allowed.residency();
@@ -552,13 +555,13 @@
                 let direct = Arc::clone(&self.back_end);
                 let back_end = RemoteBackEnd::new(homes, direct, residency.clone());
                 let pool = MemberPool::remote(Arc::clone(member), Arc::new(back_end));
-                Arc::new(pool.behind(self.gate(member, Sender::Session)))
+                Arc::new(pool.with_gate(self.gate(member, Sender::Session)))
             });
         allowed.with(Arc::clone(pool))
     }
 
     /// Forgets the connections of sets of regions, which may never be asked for again.
-    fn forget_restricted_pools(&self) {
+    fn clear_restricted_pools(&self) {
         lock(&self.remote_pools).retain(|(_, residency), _| residency.is_anywhere());
     }
 
@@ -579,23 +582,23 @@
             return Arc::clone(pool);
         }
         let pool = MemberPool::new(Arc::clone(member), Arc::clone(&self.back_end));
-        let pool = Arc::new(pool.behind(self.gate(member, Sender::Home)));
+        let pool = Arc::new(pool.with_gate(self.gate(member, Sender::Home)));
         pool.set_limit(self.connection_share(member));
-        if self.directory().has_ended(member) {
-            pool.end();
+        if self.directory().has_restarted(member) {
+            pool.retire();
         }
         pools.insert(member.id.clone(), Arc::clone(&pool));
         pool
     }
 
     /// The connections to the member called `id`, if it is known.
-    pub fn pool_of(&self, id: &str) -> Option<Arc<MemberPool>> {
+    pub fn pool_by_id(&self, id: &str) -> Option<Arc<MemberPool>> {
         let directory = self.directory();
         directory.member(id).map(|member| self.pool(member))
     }
 
     /// This process's own connections to the member called `id`, if it was ever used.
-    pub fn used_pool(&self, id: &str) -> Option<Arc<MemberPool>> {
+    pub fn existing_pool(&self, id: &str) -> Option<Arc<MemberPool>> {
         lock(&self.pools).get(id).cloned()
     }
 
@@ -606,11 +609,11 @@
 
     /// Closes resting connections to the members of `zone`, those made while no home was
     /// reached included.
-    pub fn close_resting_in(&self, zone: &ZoneName) {
+    pub fn close_idle_connections_in(&self, zone: &ZoneName) {
         let mut pools = self.pools();
         pools.extend(lock(&self.remote_pools).values().cloned());
         let there = pools.iter().filter(|pool| pool.member().zone == *zone);
-        there.for_each(|pool| pool.close_resting());
+        there.for_each(|pool| pool.close_idle_connections());
     }
 
     /// How far the process is from its end.
@@ -638,13 +641,13 @@
     pub fn close_unused_connections(&self) {
         lock(&self.pools)
             .values()
-            .for_each(|pool| pool.close_unused());
+            .for_each(|pool| pool.close_expired());
         lock(&self.remote_pools)
             .values()
-            .for_each(|pool| pool.close_unused());
+            .for_each(|pool| pool.close_expired());
     }
 
-    fn close_pools_except(&self, directory: &Directory) {
+    fn close_obsolete_pools(&self, directory: &Directory) {
         let is_known = |id: &str| directory.member(id).is_some();
         self.homes.retain_members(is_known);
         lock(&self.remote_pools).retain(|(id, _), _| is_known(id));
@@ -654,9 +657,9 @@
             let known = is_known(id);
             if !known {
                 pool.close();
-                telemetry::forget_member(id);
-            } else if directory.has_ended(pool.member()) {
-                pool.end();
+                telemetry::reset_member_gauges(id);
+            } else if directory.has_restarted(pool.member()) {
+                pool.retire();
             }
             known
         });
--- a/crates/engine/src/events.rs
+++ b/crates/engine/src/events.rs
@@ -262,7 +262,7 @@
     /// A request that failed or was late, or a session that was refused.
     Failure,
     /// Everything else.
-    Belief,
+    StateChange,
 }
 
 impl Event {
@@ -277,7 +277,7 @@
             Event::SessionRefused { .. }
             | Event::AnswerUndelivered { .. }
             | Event::Forwarded { .. } => EventClass::Failure,
-            _ => EventClass::Belief,
+            _ => EventClass::StateChange,
         }
     }
 }
@@ -287,7 +287,7 @@
     match class {
         EventClass::Success => 2.0,
         EventClass::Failure => 100.0,
-        EventClass::Belief => 60.0,
+        EventClass::StateChange => 60.0,
     }
 }
 
@@ -297,7 +297,7 @@
 #[derive(Debug)]
 struct ClassBudget {
     tokens: f64,
-    settled: Instant,
+    refilled_at: Instant,
     suppressed: u64,
 }
 
@@ -305,7 +305,7 @@
     fn new(class: EventClass, now: Instant) -> Self {
         Self {
             tokens: budget_per_second(class) * BURST_SECONDS,
-            settled: now,
+            refilled_at: now,
             suppressed: 0,
         }
     }
@@ -313,9 +313,9 @@
     /// The number suppressed before, if the event may be written.
     fn admit(&mut self, class: EventClass, now: Instant) -> Option<u64> {
         let rate = budget_per_second(class);
-        let earned = now.duration_since(self.settled).as_secs_f64() * rate;
+        let earned = now.duration_since(self.refilled_at).as_secs_f64() * rate;
         self.tokens = (self.tokens + earned).min(rate * BURST_SECONDS);
-        self.settled = now;
+        self.refilled_at = now;
         if self.tokens < 1.0 {
             self.suppressed += 1;
             return None;
@@ -327,7 +327,7 @@
 
 /// An event as it is written.
 #[derive(Serialize)]
-struct WrittenEvent<'a> {
+struct EventLine<'a> {
     #[serde(flatten)]
     event: &'a Event,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -351,7 +351,11 @@
 impl Default for EventLog {
     fn default() -> Self {
         let now = Instant::now();
-        let classes = [EventClass::Success, EventClass::Failure, EventClass::Belief];
+        let classes = [
+            EventClass::Success,
+            EventClass::Failure,
+            EventClass::StateChange,
+        ];
         Self {
             node: None,
             budgets: Mutex::new(classes.map(|class| ClassBudget::new(class, now))),
@@ -361,7 +365,7 @@
 
 impl EventLog {
     /// A log whose events name `node`.
-    pub fn of_node(node: NodeName) -> Self {
+    pub fn for_node(node: NodeName) -> Self {
         Self {
             node: Some(node),
             ..Self::default()
@@ -375,7 +379,7 @@
             metrics::counter!("stilequay_events_suppressed_total").increment(1);
             return;
         };
-        let written = WrittenEvent {
+        let written = EventLine {
             event,
             node: self.node.as_deref(),
             suppressed_before,
@@ -390,7 +394,7 @@
     pub fn has_budget(&self, class: EventClass) -> bool {
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         let budget = &mut budgets[class as usize];
-        let earned = budget.settled.elapsed().as_secs_f64() * budget_per_second(class);
+        let earned = budget.refilled_at.elapsed().as_secs_f64() * budget_per_second(class);
         let available = budget.tokens + earned >= 1.0;
         if !available {
             budget.suppressed += 1;
@@ -407,7 +411,7 @@
 fn level(class: EventClass) -> Level {
     match class {
         EventClass::Failure => Level::Warn,
-        EventClass::Success | EventClass::Belief => Level::Info,
+        EventClass::Success | EventClass::StateChange => Level::Info,
     }
 }
 
@@ -428,7 +432,7 @@
     }
 
     /// Takes what came of the latest use: nothing, or why it failed.
-    pub fn note(&mut self, log: &EventLog, failure: Option<String>) {
+    pub fn record_outcome(&mut self, log: &EventLog, failure: Option<String>) {
         let available = failure.is_none();
         if self.available == available {
             return;
--- a/crates/engine/src/leadership/fleet_index.rs
+++ b/crates/engine/src/leadership/fleet_index.rs
@@ -65,7 +65,7 @@
 pub async fn maintain(engine: &Engine, lease: &PromotionLease) {
     loop {
         sleep(COMPARE_INTERVAL).await;
-        if lease.check().is_none() || !following::follows_others(engine) {
+        if lease.check().is_none() || !following::uses_relays(engine) {
             continue;
         }
         let others = engine.terms().subscribe_other_records();
--- a/crates/engine/src/leadership/follower.rs
+++ b/crates/engine/src/leadership/follower.rs
@@ -195,7 +195,7 @@
         let mut failures = 0;
         let mut dependency = DependencyMonitor::new("term_records");
         loop {
-            let became_direct = engine.following().until_direct().await;
+            let became_direct = engine.following().wait_until_direct().await;
             if became_direct {
                 version = engine.following().resume_from(Feed::Records);
                 version = version.filter(|_| self.has_read());
@@ -204,14 +204,18 @@
             let result = match version {
                 None => self.records.read("").await,
                 Some(after) => {
-                    let wait = following::first_wait(became_direct, failures, engine.feed_wait());
+                    let wait = following::initial_watch_timeout(
+                        became_direct,
+                        failures,
+                        engine.watch_timeout(),
+                    );
                     self.records.watch(after, wait).await
                 }
             };
             match result {
                 Ok(changes) => {
                     failures = 0;
-                    dependency.note(engine.events(), None);
+                    dependency.record_outcome(engine.events(), None);
                     let is_full_read = version.is_none();
                     self.apply(engine, &changes, is_full_read.then_some(begun));
                     self.mark_read();
@@ -222,11 +226,11 @@
                     }
                     version = Some(changes.version);
                     self.advance_version(changes.version);
-                    engine.slow_starts().prove_records(begun);
+                    engine.slow_starts().advance_records_as_of(begun);
                     let now = Instant::now();
                     engine
                         .following()
-                        .heard(Feed::Records, now, changes.version);
+                        .mark_current(Feed::Records, now, changes.version);
                     if !changes.written.is_empty() {
                         following::pause_after_changes(engine, Feed::Records).await;
                     }
@@ -234,12 +238,12 @@
                 Err(RecordStoreError::HistoryGone) => version = None,
                 Err(error) => {
                     failures += 1;
-                    engine.following().failed(Feed::Records, failures);
-                    dependency.note(engine.events(), Some(error.to_string()));
-                    if !following::follows_others(engine) {
-                        peers::ask(engine, &engine.directory().groups()).await;
+                    engine.following().mark_failed(Feed::Records, failures);
+                    dependency.record_outcome(engine.events(), Some(error.to_string()));
+                    if !following::uses_relays(engine) {
+                        peers::query(engine, &engine.directory().groups()).await;
                     }
-                    sleep(following::retry_pause(engine, failures)).await;
+                    sleep(following::retry_backoff(engine, failures)).await;
                 }
             }
         }
@@ -385,7 +389,7 @@
                     let record = resolve_acting_leader(&directory, term.record);
                     group.apply_record(&record, None, Instant::now())
                 }
-                None => group.apply_first_leader(first_leader(&directory, &name), None),
+                None => group.apply_initial_leader(first_leader(&directory, &name), None),
             };
             if changed {
                 emit_leader_changed(engine, &group);
@@ -445,7 +449,7 @@
         for name in groups {
             if self.known(name).is_none() {
                 let leader = first_leader(&directory, name);
-                engine.group(name).apply_first_leader(leader, Some(begun));
+                engine.group(name).apply_initial_leader(leader, Some(begun));
             }
         }
     }
--- a/crates/engine/src/leadership/freshness.rs
+++ b/crates/engine/src/leadership/freshness.rs
@@ -6,9 +6,9 @@
 use crate::evacuation::Sender;
 use crate::group::Group;
 use crate::home;
-use crate::names::are_lives_of_one;
+use crate::names::are_incarnations_of_same_server;
 use crate::peers;
-use crate::pool::Claim;
+use crate::pool::AcquireRequest;
 use crate::ports::{Command, Control};
 use crate::position::LogPosition;
 use crate::residency::Residency;
@@ -32,7 +32,7 @@
     if let Some(position) = group.covering_position(moment) {
         return Some(position);
     }
-    let _one_at_a_time = timeout_at(until, group.questions().lock()).await.ok()?;
+    let _one_at_a_time = timeout_at(until, group.query_lock().lock()).await.ok()?;
     if let Some(position) = group.covering_position(moment) {
         return Some(position);
     }
@@ -49,7 +49,7 @@
     }
     let _ = timeout_at(
         until,
-        peers::ask(engine, std::slice::from_ref(group.name())),
+        peers::query(engine, std::slice::from_ref(group.name())),
     )
     .await;
     if let Some(position) = group.covering_position(moment) {
@@ -99,7 +99,7 @@
 fn is_replaced(member: &SurveyedMember, members: &[SurveyedMember]) -> bool {
     let same_address = |other: &SurveyedMember| {
         let is_other = other.member.id != member.member.id
-            && !are_lives_of_one(&other.member.id, &member.member.id);
+            && !are_incarnations_of_same_server(&other.member.id, &member.member.id);
         is_other && other.member.address == member.member.address
     };
     member.member.is_gone() && members.iter().any(same_address)
@@ -118,7 +118,11 @@
     let member = Residency::ANYWHERE.admit(topology, Arc::clone(member))?;
     let pool = engine.session_pool(&member);
     let until = now + POSITION_TIMEOUT;
-    let mut connection = pool.get().acquire(&Claim::own(), until).await.ok()?;
+    let mut connection = pool
+        .get()
+        .acquire(&AcquireRequest::internal(), until)
+        .await
+        .ok()?;
     let sent = Instant::now();
     let begin = Command::Begin {
         read_only: false,
--- a/crates/engine/src/leadership/survey.rs
+++ b/crates/engine/src/leadership/survey.rs
@@ -3,8 +3,8 @@
 use crate::directory::{Member, MemberState, Role};
 use crate::engine::Engine;
 use crate::names::GroupName;
-use crate::pool::{AcquireError, OrderError};
-use crate::ports::{ConnectError, Control, LinkError, MemberReport};
+use crate::pool::{AcquireError, ControlError};
+use crate::ports::{BackEndConnectionError, ConnectError, Control, MemberReport};
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use std::sync::Arc;
@@ -60,7 +60,7 @@
         };
         match self.response {
             Response::RestartedEmpty => true,
-            Response::Down(_) => now.duration_since(departure.learned) > GONE_MEMBER_TIMEOUT,
+            Response::Down(_) => now.duration_since(departure.learned_at) > GONE_MEMBER_TIMEOUT,
             _ => false,
         }
     }
@@ -74,13 +74,13 @@
 
 /// Sends `control` to one member.
 pub async fn send_control(engine: &Engine, member: &Arc<Member>, control: Control) -> Response {
-    if engine.directory().has_ended(member) {
+    if engine.directory().has_restarted(member) {
         return Response::RestartedEmpty;
     }
     let pool = engine.pool(member);
-    match timeout(CONTROL_TIMEOUT, pool.order(control)).await {
+    match timeout(CONTROL_TIMEOUT, pool.control(control)).await {
         Ok(Ok(report)) => {
-            pool.note(|health| health.heard(Instant::now()));
+            pool.update_health(|health| health.record_contact(Instant::now()));
             Response::Report(report)
         }
         Ok(Err(error)) => response_to_error(&error),
@@ -160,17 +160,17 @@
     surveyed
 }
 
-fn response_to_error(error: &OrderError) -> Response {
+fn response_to_error(error: &ControlError) -> Response {
     let reason = error.to_string();
     match error {
-        OrderError::Connect(ConnectError::Refused(_) | ConnectError::WrongMember) => {
+        ControlError::Connect(ConnectError::Refused(_) | ConnectError::WrongMember) => {
             Response::Down(reason)
         }
-        OrderError::Connect(ConnectError::TooManyConnections | ConnectError::Busy)
-        | OrderError::Acquire(
+        ControlError::Connect(ConnectError::TooManyConnections | ConnectError::Busy)
+        | ControlError::Acquire(
             AcquireError::Exhausted | AcquireError::Shed(_) | AcquireError::SlowStart(_),
         )
-        | OrderError::Link(LinkError::Refused(_)) => Response::Declined(reason),
+        | ControlError::Link(BackEndConnectionError::Refused(_)) => Response::Declined(reason),
         _ => Response::Silent(reason),
     }
 }
--- a/crates/engine/src/leadership/suspicion.rs
+++ b/crates/engine/src/leadership/suspicion.rs
@@ -73,18 +73,18 @@
     match leader.state {
         MemberState::Leaving(_) => return Some(Suspicion::Leaving),
         MemberState::Gone(gone)
-            if now.duration_since(gone.learned) > GONE_GRACE
-                || engine.directory().has_ended(leader) =>
+            if now.duration_since(gone.learned_at) > GONE_GRACE
+                || engine.directory().has_restarted(leader) =>
         {
             return Some(Suspicion::EntryGone);
         }
         _ => {}
     }
     let has_lasted = |since: Option<Instant>, limit| since.is_some_and(|at| now >= at + limit);
-    let health = engine.used_pool(&leader.id).map(|pool| pool.health());
+    let health = engine.existing_pool(&leader.id).map(|pool| pool.health());
     if let Some(health) = health
         && (has_lasted(health.unreachable_since(), UNREACHABLE_TIMEOUT)
-            || has_lasted(health.silent_since(), SILENCE_TIMEOUT))
+            || has_lasted(health.unanswered_since(), SILENCE_TIMEOUT))
     {
         return Some(Suspicion::Unreachable);
     }
@@ -123,7 +123,10 @@
     let MemberState::Gone(gone) = leader.state else {
         return Some(Suspicion::EntryGone);
     };
-    let answering_grace = engine.settings().leaving_use.mul_f64(ANSWERING_GRACE_SHARE);
+    let answering_grace = engine
+        .settings()
+        .departure_grace
+        .mul_f64(ANSWERING_GRACE_SHARE);
     if gone.may_be_older_than(answering_grace, Instant::now()) {
         return Some(Suspicion::EntryGone);
     }
@@ -154,7 +157,7 @@
         }
     }
     // A leader that is slow to answer status requests may still answer statements.
-    let last_heard = engine.pool(leader).health().heard_at();
+    let last_heard = engine.pool(leader).health().last_contact();
     let is_alive = last_heard.is_some_and(|at| at >= began);
     (!is_alive).then_some(Suspicion::Unreachable)
 }
@@ -178,12 +181,12 @@
         let replicas = replica_reports(engine, group, leader).await;
         let received = replicas.iter().any(|r| r.received >= report.received);
         if received {
-            group.replication_works();
+            group.record_replication_working();
             return None;
         }
         suspicion = (!replicas.is_empty()).then_some(Suspicion::CommitsStalled);
     }
-    group.replication_fails();
+    group.record_replication_stalled();
     suspicion
 }
 
--- a/crates/engine/src/peers/tcp.rs
+++ b/crates/engine/src/peers/tcp.rs
@@ -1,11 +1,11 @@
 //! Questions over TCP: one frame asks, one answers, and the connection ends.
 
-use super::{beliefs, declared};
+use super::{declared, group_snapshots};
 use crate::encoding;
 use crate::engine::Engine;
 use crate::names::GroupName;
 use crate::ports::{
-    DeclaredState, DeclaredVersions, GroupBelief, PeerError, PeerLink, PeerNetwork,
+    DeclaredState, DeclaredVersions, GroupSnapshot, PeerError, PeerLink, PeerNetwork,
 };
 use crate::serving;
 use async_trait::async_trait;
@@ -45,7 +45,7 @@
 /// An answer.
 #[derive(Debug, Serialize, Deserialize)]
 enum Answer {
-    Beliefs(Vec<GroupBelief>),
+    Beliefs(Vec<GroupSnapshot>),
     Declared(Box<DeclaredState>),
 }
 
@@ -73,35 +73,35 @@
     rmp_serde::from_slice(&frame).map_err(|error| PeerError::Protocol(error.to_string()))
 }
 
-fn another_answer() -> PeerError {
+fn mismatched_answer() -> PeerError {
     PeerError::Protocol("the answer is to another question".to_owned())
 }
 
 #[async_trait]
 impl PeerNetwork for TcpPeers {
-    async fn ask(
+    async fn query_groups(
         &self,
         peer: SocketAddr,
         groups: &[GroupName],
-    ) -> Result<Vec<GroupBelief>, PeerError> {
+    ) -> Result<Vec<GroupSnapshot>, PeerError> {
         match exchange(peer, &Question::Beliefs(groups.to_vec())).await? {
-            Answer::Beliefs(beliefs) => Ok(beliefs),
-            Answer::Declared(_) => Err(another_answer()),
+            Answer::Beliefs(group_snapshots) => Ok(group_snapshots),
+            Answer::Declared(_) => Err(mismatched_answer()),
         }
     }
 
-    async fn ask_declared(
+    async fn query_declared(
         &self,
         peer: SocketAddr,
         known: DeclaredVersions,
     ) -> Result<DeclaredState, PeerError> {
         match exchange(peer, &Question::Declared(known)).await? {
             Answer::Declared(state) => Ok(*state),
-            Answer::Beliefs(_) => Err(another_answer()),
+            Answer::Beliefs(_) => Err(mismatched_answer()),
         }
     }
 
-    async fn link(&self, peer: SocketAddr) -> Result<PeerLink, PeerError> {
+    async fn open_link(&self, peer: SocketAddr) -> Result<PeerLink, PeerError> {
         let unreachable = |error: std::io::Error| PeerError::Unreachable(error.to_string());
         let stream = TcpStream::connect(peer).await.map_err(unreachable)?;
         stream.set_nodelay(true).map_err(unreachable)?;
@@ -152,7 +152,7 @@
         let engine = Arc::clone(&engine);
         tokio::spawn(async move {
             // Who breaks off gets no answer.
-            let Ok(Some(Asked::Link(link))) =
+            let Ok(Some(ConnectionUse::Link(link))) =
                 timeout(QUESTION_TIMEOUT, answer(&engine, stream)).await
             else {
                 return;
@@ -163,7 +163,7 @@
 }
 
 /// What came of a connection.
-enum Asked {
+enum ConnectionUse {
     /// Its question was answered.
     Answered,
     /// It is a link from here on.
@@ -171,30 +171,30 @@
 }
 
 /// Answers one question; what makes no sense ends the connection.
-async fn answer(engine: &Engine, stream: TcpStream) -> Option<Asked> {
+async fn answer(engine: &Engine, stream: TcpStream) -> Option<ConnectionUse> {
     stream.set_nodelay(true).ok()?;
     let mut frames = framed(stream);
     let frame = frames.next().await?.ok()?;
     let answer = match rmp_serde::from_slice(&frame).ok()? {
-        Question::Beliefs(groups) => Answer::Beliefs(known_beliefs(engine, groups)?),
+        Question::Beliefs(groups) => Answer::Beliefs(known_group_snapshots(engine, groups)?),
         Question::Declared(versions) => {
             let newer = declared::newer(engine, versions, Instant::now());
             Answer::Declared(Box::new(newer))
         }
-        Question::Link => return Some(Asked::Link(spawn_link(frames))),
+        Question::Link => return Some(ConnectionUse::Link(spawn_link(frames))),
     };
     let encoded = encoding::without_names(&answer);
     frames.send(encoded).await.ok()?;
-    Some(Asked::Answered)
+    Some(ConnectionUse::Answered)
 }
 
 /// Beliefs about those of `groups` that the directory names: none is made for a question's
 /// sake.
-fn known_beliefs(engine: &Engine, groups: Vec<GroupName>) -> Option<Vec<GroupBelief>> {
+fn known_group_snapshots(engine: &Engine, groups: Vec<GroupName>) -> Option<Vec<GroupSnapshot>> {
     if groups.len() > MAX_GROUPS {
         return None;
     }
     let known = engine.directory().groups();
     let named = groups.into_iter().filter(|group| known.contains(group));
-    Some(beliefs(engine, &named.collect::<Vec<GroupName>>()))
+    Some(group_snapshots(engine, &named.collect::<Vec<GroupName>>()))
 }
--- a/crates/engine/src/pool/mod.rs
+++ b/crates/engine/src/pool/mod.rs
@@ -1,10 +1,10 @@
-//! Connections to members, shared between sessions.
+//! Connection pools for members, shared by all sessions.
 //!
-//! A connection is in use from one acquisition until its [`PooledConnection`] is given
-//! back. Only a connection whose last answer was read to its end and that is outside any
-//! transaction goes back; every other one is closed.
+//! A connection is in use from its acquisition until its [`PooledConnection`] is dropped. It
+//! returns to the pool only if its last answer was read completely and no transaction is
+//! open on it; otherwise it is closed.
 
-mod claim;
+mod acquire_request;
 mod concurrency;
 mod connection;
 mod error;
@@ -13,10 +13,10 @@
 mod queue;
 mod set;
 
-pub use claim::Claim;
-pub use concurrency::Concurrency;
-pub use connection::{PooledConnection, RunError, SessionValues, Work};
-pub use error::{AcquireError, OrderError};
+pub use acquire_request::AcquireRequest;
+pub use concurrency::ConcurrencyLimit;
+pub use connection::{PooledConnection, RunError, SessionStatement, SessionValues};
+pub use error::{AcquireError, ControlError};
 pub use health::MemberHealth;
 pub use member::MemberPool;
 pub use queue::QueueDelay;
--- a/crates/engine/src/ports/mod.rs
+++ b/crates/engine/src/ports/mod.rs
@@ -6,15 +6,15 @@
 mod record_store;
 
 pub use back_end::{
-    Admission, Answer, BackEnd, BackEndConnection, Command, ConnectError, Control, LinkError,
-    MemberReport, Refusal, RefusalKind,
+    Admission, Answer, BackEnd, BackEndConnection, BackEndConnectionError, Command, ConnectError,
+    Control, MemberReport, Refusal, RefusalKind,
 };
 pub use peers::{
-    CoveringBelief, DeclaredConfiguration, DeclaredDeparture, DeclaredDirectory, DeclaredExtent,
-    DeclaredMember, DeclaredState, DeclaredVersions, GroupBelief, LeaderBelief, PeerError,
-    PeerLink, PeerNetwork, TermBelief,
+    CoveringSnapshot, DeclaredConfiguration, DeclaredDeparture, DeclaredDirectory, DeclaredExtent,
+    DeclaredMember, DeclaredState, DeclaredVersions, GroupSnapshot, LeaderSnapshot, PeerError,
+    PeerLink, PeerNetwork, TermSnapshot,
 };
 pub use promoter::{PromoteError, Promoter, PromotionOrder};
 pub use record_store::{
-    PUTS_AT_ONCE, PutOutcome, Record, RecordChanges, RecordPut, RecordStore, RecordStoreError,
+    MAX_PUTS_PER_CALL, PutOutcome, Record, RecordChanges, RecordPut, RecordStore, RecordStoreError,
 };
--- a/crates/engine/src/session/target.rs
+++ b/crates/engine/src/session/target.rs
@@ -9,10 +9,10 @@
 use crate::directory::Member;
 use crate::engine::Engine;
 use crate::group::{Group, UsableLeader};
-use crate::pool::{AcquireError, Claim, MemberPool, PooledConnection};
+use crate::pool::{AcquireError, AcquireRequest, MemberPool, PooledConnection};
 use crate::position::LogPosition;
 use crate::residency::{Allowed, Residency};
-use crate::routing::{ReadCandidate, is_past_use, may_be_used};
+use crate::routing::{ReadCandidate, is_usable, is_use_expired};
 use crate::verdict::{Failure, FailureReason};
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,23 +30,23 @@
     /// The position that its log must hold; `None` at a leader whose term is leased.
     pub after: Option<LogPosition>,
     /// Whether nothing speaks against its running the statement at once.
-    pub is_likely: bool,
+    pub is_preferred: bool,
 }
 
 impl Target {
     /// A candidate for a read whose log must hold `after`.
-    pub(super) fn candidate(candidate: ReadCandidate, after: LogPosition) -> Self {
+    pub(super) fn from_candidate(candidate: ReadCandidate, after: LogPosition) -> Self {
         Self {
             pool: candidate.pool,
             after: Some(after),
-            is_likely: candidate.is_likely,
+            is_preferred: candidate.is_preferred,
         }
     }
 
     /// The same member, where it is asked again.
-    pub(super) fn again(&self) -> Self {
+    pub(super) fn for_retry(&self) -> Self {
         Self {
-            is_likely: false,
+            is_preferred: false,
             ..self.clone()
         }
     }
@@ -69,11 +69,11 @@
     pub(super) async fn acquire(
         &self,
         engine: &Engine,
-        claim: &Claim,
+        acquire_request: &AcquireRequest,
         until: Instant,
     ) -> Result<PooledConnection, AcquireError> {
-        let connection = self.pool.get().acquire(claim, until).await?;
-        let now = engine.residency(&claim.database, claim.tenant.as_ref());
+        let connection = self.pool.get().acquire(acquire_request, until).await?;
+        let now = engine.residency(&acquire_request.database, acquire_request.tenant.as_ref());
         if !is_still_allowed(engine, self.pool(), self.residency(), &now) {
             return Err(AcquireError::OutsideRegions);
         }
@@ -94,7 +94,7 @@
     chosen: &Residency,
     now: &Residency,
 ) -> bool {
-    if now.includes(chosen) {
+    if now.is_superset_of(chosen) {
         return true;
     }
     let topology = &engine.settings().topology;
@@ -115,7 +115,7 @@
     let Some(member) = directory.member(&leader.member) else {
         return Ok(None);
     };
-    if !may_be_used(engine, member, Instant::now()) {
+    if !is_usable(engine, member, Instant::now()) {
         return Ok(None);
     }
     let topology = &engine.settings().topology;
@@ -124,7 +124,7 @@
     Ok(Some(Target {
         pool: engine.session_pool(&member),
         after: None,
-        is_likely: true,
+        is_preferred: true,
     }))
 }
 
@@ -145,7 +145,7 @@
     let members = engine.directory().members_of(group.name());
     let usable: Vec<Arc<Member>> = members
         .into_iter()
-        .filter(|member| !is_past_use(engine, member.state, now))
+        .filter(|member| !is_use_expired(engine, member.state, now))
         .collect();
     let topology = &engine.settings().topology;
     let mut allowed = residency.select(topology, &usable);
@@ -193,6 +193,6 @@
             return route.clone();
         };
         let newest = configuration.and_then(|c| c.tenants.get(&tenant.name));
-        route.and(&newest.unwrap_or(tenant).residency)
+        route.intersection(&newest.unwrap_or(tenant).residency)
     }
 }
--- a/crates/engine/src/slow_start/allot.rs
+++ b/crates/engine/src/slow_start/allot.rs
@@ -1,12 +1,12 @@
-//! Writing the allotments of cold members, and telling of this process's shares.
+//! Writes the allotments of cold members to the store, and events about this process's shares.
 
 use super::allotment::{Allotment, Allotments, Senders, divide};
-use super::{Cold, cold, settling, share};
+use super::{ColdStart, cold_start, settling_time, share};
 use crate::directory::Member;
 use crate::encoding;
 use crate::engine::Engine;
 use crate::events::{Event, millis};
-use crate::home::placement::{CANDIDATES, Peer};
+use crate::home::placement::{CANDIDATES_PER_MEMBER, Peer};
 use crate::leadership::fleet;
 use crate::names::{MemberId, NodeName};
 use crate::ports::RecordStoreError;
@@ -15,48 +15,48 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Interval in which members are looked at while any is cold.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
-/// The same while none is, where groups have a slow start: a member that turns cold is noticed
-/// by its change.
+/// Interval of checks while any member is cold.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval of checks while no member is cold but a group has a slow start. A member that becomes
+/// cold is noticed sooner, by the change of its entry.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
-/// How much longer each candidate waits than the one before it until it writes an allotment. A
-/// write takes some tens of ms.
-const RANK_PAUSE: Duration = Duration::from_millis(400);
-/// Pause at the first start of a fleet, while its processes come to know one another: each
-/// would be the first candidate for a moment.
-const FIRST_START_PAUSE: Duration = Duration::from_secs(2);
-/// Allotments that a record keeps of members that have left: none of them comes back under
-/// its name, and there is no hurry.
-const LEFT_MEMBERS: usize = 8;
+/// Delay of an allotment's write per rank of the candidate, so that candidates write one after
+/// another. A write takes some tens of ms.
+const RANK_DELAY: Duration = Duration::from_millis(400);
+/// Delay at the first start of a fleet, while its processes discover one another: until then each
+/// would consider itself the first candidate.
+const FIRST_START_DELAY: Duration = Duration::from_secs(2);
+/// Number of departed members whose allotments a record may keep. No member comes back under the
+/// same identity, so they need not be removed at once.
+const MAX_DEPARTED_MEMBERS: usize = 8;
 
-/// What was last told of a cold member.
-type Told = HashMap<MemberId, (usize, usize)>;
+/// Share and limit last reported for each cold member.
+type Reported = HashMap<MemberId, (usize, usize)>;
 
-/// Keeps the allotments until the process ends; does nothing while no group has a slow start.
+/// Maintains the allotments until the process ends; idle while no group has a slow start.
 pub async fn run(engine: &Engine) {
     let mut configuration = engine.subscribe_configuration();
     let mut directory = engine.subscribe_directory();
     let mut records = engine.terms().subscribe_other_records();
     engine.terms().wait_until_read().await;
     if !fleet::is_registered(engine) {
-        sleep(FIRST_START_PAUSE).await;
+        sleep(FIRST_START_DELAY).await;
     }
-    let mut lacking = HashMap::new();
-    let mut told = Told::new();
+    let mut missing_since = HashMap::new();
+    let mut reported = Reported::new();
     loop {
-        if !engine.slow_starts().is_used() {
-            tell_warm(engine, &[], &mut told);
+        if !engine.slow_starts().is_enabled() {
+            report_warm_members(engine, &[], &mut reported);
             metrics::gauge!("stilequay_cold_members").set(0.0);
-            // The sender lives as long as this does.
+            // The sender outlives this task, so this cannot fail.
             let _ = configuration.changed().await;
             continue;
         }
         directory.mark_unchanged();
         records.mark_unchanged();
-        let any = look(engine, &mut lacking, &mut told).await;
+        let any = check_members(engine, &mut missing_since, &mut reported).await;
         let pause = match any {
-            true => LOOK_INTERVAL,
+            true => CHECK_INTERVAL,
             false => IDLE_INTERVAL,
         };
         tokio::select! {
@@ -67,59 +67,66 @@
     }
 }
 
-/// Looks at all members once; returns whether any is cold.
-async fn look(engine: &Engine, lacking: &mut HashMap<MemberId, Instant>, told: &mut Told) -> bool {
+/// Checks all members once; returns whether any is cold.
+async fn check_members(
+    engine: &Engine,
+    missing_since: &mut HashMap<MemberId, Instant>,
+    reported: &mut Reported,
+) -> bool {
     let now = Instant::now();
     let directory = engine.directory();
     let members = directory.members().filter_map(|member| {
-        let cold = cold(engine, member, now)?;
+        let cold = cold_start(engine, member, now)?;
         Some((Arc::clone(member), cold))
     });
-    let members: Vec<(Arc<Member>, Cold)> = members.collect();
-    lacking.retain(|id, _| members.iter().any(|(member, _)| member.id == *id));
+    let members: Vec<(Arc<Member>, ColdStart)> = members.collect();
+    missing_since.retain(|id, _| members.iter().any(|(member, _)| member.id == *id));
     for (member, cold) in &members {
-        if cold.is_told {
-            allot(engine, member, *cold, lacking).await;
+        if cold.is_reported {
+            update_allotment(engine, member, *cold, missing_since).await;
         }
-        tell(engine, member, *cold, told);
+        report_share(engine, member, *cold, reported);
     }
-    tell_warm(engine, &members, told);
+    report_warm_members(engine, &members, reported);
     metrics::gauge!("stilequay_cold_members").set(members.len() as f64);
     !members.is_empty()
 }
 
-/// Writes the allotment of `member` where it lacks one that is right and it is this process's
-/// turn to write.
-async fn allot(
+/// Writes the allotment of `member` if it is missing or outdated and the delay of this process's
+/// rank has passed.
+async fn update_allotment(
     engine: &Engine,
     member: &Member,
-    cold: Cold,
-    lacking: &mut HashMap<MemberId, Instant>,
+    cold: ColdStart,
+    missing_since: &mut HashMap<MemberId, Instant>,
 ) {
     let rank = rank(engine, member);
     let present = engine.slow_starts().allotment(engine, member);
-    let wanted = wanted(engine, member, cold, present.as_ref());
-    let (Some(rank), Some(allotment)) = (rank, wanted) else {
-        lacking.remove(&member.id);
+    let desired = desired_allotment(engine, member, cold, present.as_ref());
+    let (Some(rank), Some(allotment)) = (rank, desired) else {
+        missing_since.remove(&member.id);
         return;
     };
-    let since = *lacking
+    let since = *missing_since
         .entry(member.id.clone())
         .or_insert_with(Instant::now);
-    let wait = RANK_PAUSE * u32::try_from(rank).unwrap_or(u32::MAX);
+    let wait = RANK_DELAY * u32::try_from(rank).unwrap_or(u32::MAX);
     if Instant::now() < since + wait {
         return;
     }
     let present = present.map(|(allotment, _)| allotment);
     if let Err(error) = write(engine, member, present, allotment).await {
-        log::warn!("the allotment of {} was not written: {error}", member.id);
-        // The next candidate's turn may come before this one tries again.
-        lacking.insert(member.id.clone(), Instant::now() + RANK_PAUSE);
+        log::warn!(
+            "failed to write the slow start allotment of {}: {error}",
+            member.id
+        );
+        // Leaves time for the next candidate to write before this one retries.
+        missing_since.insert(member.id.clone(), Instant::now() + RANK_DELAY);
     }
 }
 
-/// This process's place among those that write the allotment of `member`. One that knows no
-/// other process is the first.
+/// This process's rank among the candidates that write the allotment of `member`. A process that
+/// knows no candidate is the first.
 fn rank(engine: &Engine, member: &Member) -> Option<usize> {
     let candidates = engine.homes().candidates(member);
     let own = &engine.settings().node;
@@ -129,32 +136,33 @@
     }
 }
 
-/// The allotment that `member` is to have in place of the `present` one, which is known since a
-/// moment; `None` where it has that, or where others may not have heard of the present one yet.
-fn wanted(
+/// The allotment that is to replace the `present` one of `member`, given with the time since when
+/// it is known. `None` if the present one is up to date, or if other processes may not have
+/// learned of it yet.
+fn desired_allotment(
     engine: &Engine,
     member: &Member,
-    cold: Cold,
+    cold: ColdStart,
     present: Option<&(Allotment, Instant)>,
 ) -> Option<Allotment> {
-    let shares = divide(cold.most, &senders(engine, member));
+    let shares = divide(cold.max_statements, &senders(engine, member));
     let Some((present, since)) = present else {
         return Some(Allotment {
-            most: cold.most,
+            most: cold.max_statements,
             shares,
             before: None,
         });
     };
-    let same = present.most == cold.most && present.shares == shares;
-    let settled = since.elapsed() >= settling(engine);
+    let same = present.most == cold.max_statements && present.shares == shares;
+    let settled = since.elapsed() >= settling_time(engine);
     (settled && !same).then(|| Allotment {
-        most: cold.most,
+        most: cold.max_statements,
         shares,
         before: Some(present.shares.clone()),
     })
 }
 
-/// Who sends statements to `member`, its candidates for homes first.
+/// The processes that send statements to `member`, candidates for its homes first.
 fn senders(engine: &Engine, member: &Member) -> Senders {
     let candidates = engine.homes().candidates(member);
     let names = |peers: &[Peer]| -> Vec<NodeName> {
@@ -165,8 +173,8 @@
     if first.is_empty() {
         return Senders::All(vec![engine.settings().node.clone()]);
     }
-    if !engine.all_connect(member) {
-        first.truncate(CANDIDATES);
+    if !engine.all_connect_directly(member) {
+        first.truncate(CANDIDATES_PER_MEMBER);
         return Senders::Candidates(first);
     }
     let all = names(&engine.homes().fleet());
@@ -176,8 +184,8 @@
     Senders::All(first)
 }
 
-/// Writes the record of the group with the allotment of `member` in place of the one that was
-/// `seen`, unless another process has written it meanwhile.
+/// Writes the group's record with the `allotment` of `member` in place of the `seen` one, unless
+/// another process has changed it meanwhile.
 async fn write(
     engine: &Engine,
     member: &Member,
@@ -195,9 +203,10 @@
         None => Allotments::default(),
         Some(Some(present)) => present,
         Some(None) => {
-            // Processes of another release may read it, and use the shares in it.
+            // Not overwritten: processes of another release may be able to read it and use its
+            // shares.
             log::error!(
-                "the allotments of {} can't be read; they are left",
+                "invalid slow start allotments of group {}; the record is left unchanged",
                 member.group
             );
             return Ok(());
@@ -207,42 +216,46 @@
         return Ok(());
     }
     next.members.insert(member.id.clone(), allotment);
-    forget_left(engine, &mut next);
+    prune_departed(engine, &mut next);
     let value = encoding::with_names(&next);
     let put = engine.terms().put_other_record(key, known.as_ref(), value);
     put.await.map(drop)
 }
 
-/// Drops members that have left, if there are many.
-fn forget_left(engine: &Engine, allotments: &mut Allotments) {
+/// Removes the allotments of departed members if there are many.
+fn prune_departed(engine: &Engine, allotments: &mut Allotments) {
     let directory = engine.directory();
     let has_left = |id: &MemberId| directory.member(id).is_none();
     let left = allotments.members.keys().filter(|id| has_left(id)).count();
-    if left > LEFT_MEMBERS {
+    if left > MAX_DEPARTED_MEMBERS {
         allotments.members.retain(|id, _| !has_left(id));
     }
 }
 
-/// Tells what this process may send to a cold member, where that has changed.
-fn tell(engine: &Engine, member: &Member, cold: Cold, told: &mut Told) {
+/// Writes an event if this process's share for a cold member has changed.
+fn report_share(engine: &Engine, member: &Member, cold: ColdStart, reported: &mut Reported) {
     let now = Instant::now();
     let share = share(engine, member, cold, now);
-    let before = told.insert(member.id.clone(), (share, cold.most));
-    if before != Some((share, cold.most)) {
+    let before = reported.insert(member.id.clone(), (share, cold.max_statements));
+    if before != Some((share, cold.max_statements)) {
         engine.events().write(&Event::SlowStart {
             member: member.id.clone(),
             group: member.group.clone(),
             share: Some(share),
-            most: cold.most,
+            most: cold.max_statements,
             left_ms: millis(cold.until.saturating_duration_since(now)),
         });
     }
 }
 
-/// Tells of members that are cold no more.
-fn tell_warm(engine: &Engine, cold: &[(Arc<Member>, Cold)], told: &mut Told) {
+/// Writes an event for each member that is no longer cold.
+fn report_warm_members(
+    engine: &Engine,
+    cold: &[(Arc<Member>, ColdStart)],
+    reported: &mut Reported,
+) {
     let directory = engine.directory();
-    told.retain(|id, _| {
+    reported.retain(|id, _| {
         let is_cold = cold.iter().any(|(member, _)| member.id == *id);
         if !is_cold && let Some(member) = directory.member(id) {
             engine.events().write(&Event::SlowStart {
