--- a/crates/engine/src/leadership/suspicion.rs
+++ b/crates/engine/src/leadership/suspicion.rs
@@ -157,8 +157,8 @@
         }
     }
     // A leader that is slow to answer status requests may still answer statements.
-    let heard = engine.pool(leader).health().last_contact();
-    let is_alive = heard.is_some_and(|at| at >= began);
+    let last_heard = engine.pool(leader).health().last_contact();
+    let is_alive = last_heard.is_some_and(|at| at >= began);
     (!is_alive).then_some(Suspicion::Unreachable)
 }
 
@@ -210,7 +210,7 @@
 
 async fn request_status(engine: &Engine, leader: &Arc<Member>) -> Response {
     let status = survey::send_control(engine, leader, Control::Status);
-    let silent = || Response::Silent("timed out".to_owned());
+    let silent = || Response::Silent("no answer in time".to_owned());
     timeout(STATUS_TIMEOUT, status)
         .await
         .unwrap_or_else(|_| silent())
