--- a/crates/engine/src/rate/permit_request.rs
+++ b/crates/engine/src/rate/permit_request.rs
@@ -171,8 +171,8 @@
     /// skipped shard, unless other shards have reported that they are exhausted.
     async fn await_late_replies(&mut self) -> Option<Permit> {
         let is_exhausted = self.shortest_wait.is_some();
-        let asks = !is_exhausted && self.pending.len() < PENDING_REQUESTS_MAX;
-        if let Some(shard) = self.skipped.filter(|_| asks) {
+        let should_request_skipped = !is_exhausted && self.pending.len() < PENDING_REQUESTS_MAX;
+        if let Some(shard) = self.skipped.filter(|_| should_request_skipped) {
             let request = spawn_request(self.engine, shard, self.tenant);
             self.pending.push(request);
         }
