--- a/crates/engine/src/home/remote.rs
+++ b/crates/engine/src/home/remote.rs
@@ -6,8 +6,8 @@
 use crate::link::frame::{HomeCommand, HomeOutcome, NotSent, RunRequest, UnitId};
 use crate::names::TenantName;
 use crate::ports::{
-    Admission, Answer, BackEnd, BackEndConnection, Command, ConnectError, Control, LinkError,
-    MemberReport, Refusal, RefusalKind,
+    Admission, Answer, BackEnd, BackEndConnection, BackEndConnectionError, Command, ConnectError,
+    Control, MemberReport, Refusal, RefusalKind,
 };
 use crate::residency::{Allowed, Residency};
 use crate::statement::{PreparedStatement, TransactionState};
@@ -73,11 +73,11 @@
 
 #[async_trait]
 impl BackEndConnection for DirectConnection {
-    async fn run(&mut self, command: &Command) -> Result<Answer, LinkError> {
+    async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError> {
         self.connection.run(command).await
     }
 
-    async fn control(&mut self, control: Control) -> Result<MemberReport, LinkError> {
+    async fn control(&mut self, control: Control) -> Result<MemberReport, BackEndConnectionError> {
         self.connection.control(control).await
     }
 
@@ -211,28 +211,31 @@
     }
 
     /// Runs a command at the home, in the open unit or in a new one.
-    async fn forward(&mut self, command: HomeCommand) -> Result<HomeOutcome, LinkError> {
+    async fn forward(
+        &mut self,
+        command: HomeCommand,
+    ) -> Result<HomeOutcome, BackEndConnectionError> {
         let ended = "the link to the home has ended";
         let begins = self.unit.is_none();
         let unit = self.unit.unwrap_or_else(|| self.link().begin_unit());
         let Some(answer) = self.link().run(self.request(unit, command)) else {
             return match begins {
                 true => Ok(HomeOutcome::NotSent(NotSent::Unreachable(ended.to_owned()))),
-                false => Err(LinkError::Closed(ended.to_owned())),
+                false => Err(BackEndConnectionError::Closed(ended.to_owned())),
             };
         };
         // Record the unit before waiting, so that it is closed if this future is dropped.
         self.unit = Some(unit);
         metrics::counter!("stilequay_home_forwarded_total").increment(1);
         let outcome = answer.await;
-        outcome.map_err(|_| LinkError::Closed("the link to the home ended".to_owned()))
+        outcome.map_err(|_| BackEndConnectionError::Closed("the link to the home ended".to_owned()))
     }
 
     /// Switches away from a home that can't run commands at the member. Returns whether another
     /// home is available.
     async fn switch_home(&mut self) -> bool {
         self.unit = None;
-        self.link().distrust();
+        self.link().deprioritize();
         let (tenant, residency) = (self.tenant.as_ref(), self.link.residency());
         match self
             .homes
@@ -248,7 +251,7 @@
     }
 
     /// Updates the state of the connection from the outcome of a command.
-    fn apply(&mut self, outcome: HomeOutcome) -> Result<Answer, LinkError> {
+    fn apply(&mut self, outcome: HomeOutcome) -> Result<Answer, BackEndConnectionError> {
         match outcome {
             HomeOutcome::Answered(answer) => {
                 self.state = answer.state;
@@ -261,7 +264,7 @@
                 self.unit = None;
                 Ok(self.not_sent(reason))
             }
-            HomeOutcome::Lost(reason) => Err(LinkError::Closed(reason)),
+            HomeOutcome::Lost(reason) => Err(BackEndConnectionError::Closed(reason)),
         }
     }
 
@@ -320,7 +323,7 @@
 
 #[async_trait]
 impl BackEndConnection for RemoteConnection {
-    async fn run(&mut self, command: &Command) -> Result<Answer, LinkError> {
+    async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError> {
         let command = match self.plan(command) {
             Plan::Forward(command) => command,
             Plan::Answer(answer) => return Ok(answer),
@@ -345,8 +348,8 @@
         self.apply(outcome)
     }
 
-    async fn control(&mut self, _: Control) -> Result<MemberReport, LinkError> {
-        Err(LinkError::Refused(
+    async fn control(&mut self, _: Control) -> Result<MemberReport, BackEndConnectionError> {
+        Err(BackEndConnectionError::Refused(
             "orders do not go through homes".to_owned(),
         ))
     }
--- a/crates/engine/src/leadership/fleet.rs
+++ b/crates/engine/src/leadership/fleet.rs
@@ -1,7 +1,7 @@
-//! How many processes the fleet has, from the records that they keep of themselves.
+//! The processes of the fleet, from the record that each keeps of itself.
 //!
-//! A member accepts a bounded number of connections from all processes together; the
-//! share of each follows from their number.
+//! A member accepts a limited number of connections from all processes together. The share of each
+//! process follows from their number.
 
 use super::fleet_index::FleetIndex;
 use crate::encoding;
@@ -17,39 +17,39 @@
 
 /// Prefix of the keys of these records.
 pub(super) const KEY_PREFIX: &str = "node/";
-/// Interval in which a process renews its record.
+/// Interval at which a process renews its record.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(120);
-/// Time after which a process whose record was not renewed no longer counts.
-const RECORD_LIFE: Duration = Duration::from_secs(400);
-/// Weight of a process that does not tell how many cores it may use.
+/// Time after which a process whose record was not renewed is no longer counted.
+const RECORD_TTL: Duration = Duration::from_secs(400);
+/// Weight of a process whose record doesn't state how many cores it may use.
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// Pause after a failed write; longer after each one that follows, up to [`MAX_DOUBLINGS`] times:
-/// a fleet that starts writes more records at once than the store takes in a second.
+/// Pause after a failed write, doubled after each further failure up to [`MAX_PAUSE_DOUBLINGS`]
+/// times: a fleet that starts writes more records at once than the store accepts in a second.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
-/// How often that pause doubles at the most.
-const MAX_DOUBLINGS: u32 = 2;
-/// Greatest number: more than one process needs would only wait in the member's queue.
-const GREATEST_SHARE: usize = 6;
+/// Maximum number of times that [`RETRY_PAUSE`] is doubled.
+const MAX_PAUSE_DOUBLINGS: u32 = 2;
+/// Maximum share: further connections would only wait in the member's queue.
+const MAX_SHARE: usize = 6;
 
-/// What a process tells of itself.
+/// The record that a process keeps of itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct NodeRecord {
-    /// Where it answers other processes.
+    /// The address on which it answers other processes.
     address: Option<SocketAddr>,
     /// Its zone.
     #[serde(default)]
     zone: Option<ZoneName>,
-    /// Cores that it may use.
+    /// Number of cores that it may use.
     #[serde(default)]
     weight: Option<f64>,
-    /// Differs between two writings.
+    /// Differs between two writes of the same content.
     nonce: u64,
 }
 
-/// Where the other processes answer, as far as is known.
+/// The known addresses of the other processes.
 pub fn peers(engine: &Engine) -> Vec<SocketAddr> {
     let own = engine.settings().peer_address;
-    let others = engine.terms().subscribe_others();
+    let others = engine.terms().subscribe_other_records();
     let records = others.borrow();
     let nodes = records.values().filter(|r| r.key.starts_with(KEY_PREFIX));
     nodes
@@ -59,22 +59,22 @@
         .collect()
 }
 
-/// This process's place among all in an order that is the same everywhere; zero is first.
-/// A process that is not registered yet counts itself last.
+/// Rank of this process in an order that is the same in all processes; zero is first. A process
+/// that isn't registered yet ranks last.
 pub fn rank(engine: &Engine) -> usize {
-    let rank = engine.homes().duty_rank();
+    let rank = engine.homes().lease_rank();
     let rank = rank.filter(|_| is_registered(engine));
     rank.unwrap_or(usize::MAX)
 }
 
-/// Connections that one of `processes` may use of a member that accepts `accepted`.
+/// Number of connections that one of `processes` may open to a member that accepts `accepted`.
 pub fn connection_share(accepted: usize, processes: usize) -> usize {
     let share = accepted.saturating_sub(RESERVED_CONNECTIONS) / processes.max(1);
-    share.clamp(MIN_PROCESS_CONNECTIONS, GREATEST_SHARE)
+    share.clamp(MIN_PROCESS_CONNECTIONS, MAX_SHARE)
 }
 
 impl NodeRecord {
-    /// What this process tells of itself now.
+    /// The current record of this process.
     fn of(engine: &Engine) -> Self {
         let settings = engine.settings();
         Self {
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Whether both tell the same.
-    fn is_same(&self, other: &Self) -> bool {
+    /// Whether both are equal apart from the nonce.
+    fn has_same_content(&self, other: &Self) -> bool {
         let nonce = other.nonce;
         Self {
             nonce,
@@ -95,30 +95,32 @@
     }
 }
 
-/// Keeps this process's record. One that an earlier life has written and that still holds
-/// is left for a while: where a whole fleet starts anew, nobody has to write.
+/// Writes and renews this process's record. One that was written before a restart and is still
+/// accurate is kept for a while, so that a restart of the whole fleet causes no writes.
 pub async fn register(engine: &Engine) {
-    engine.terms().until_own_known().await;
+    engine.terms().wait_until_own_known().await;
     let key = format!("{KEY_PREFIX}{}", engine.settings().node);
     if let Some(known) = own_record(engine, &key)
-        && let Ok(earlier) = rmp_serde::from_slice::<NodeRecord>(&known.value)
-        && earlier.is_same(&NodeRecord::of(engine))
+        && let Ok(stored) = rmp_serde::from_slice::<NodeRecord>(&known.value)
+        && stored.has_same_content(&NodeRecord::of(engine))
     {
         let pause = RENEWAL_INTERVAL.mul_f64(0.5 + rand::random::<f64>() / 2.0);
-        until_due(engine, &key, pause).await;
+        wait_until_due(engine, &key, pause).await;
     }
     let mut failures = 0;
     loop {
         let known = own_record(engine, &key);
         let value = encoding::with_names(&NodeRecord::of(engine));
-        let put = engine.terms().put_other(key.clone(), known.as_ref(), value);
+        let put = engine
+            .terms()
+            .put_other_record(key.clone(), known.as_ref(), value);
         match put.await {
             Ok(PutOutcome::Stored(_)) => {
                 failures = 0;
-                until_due(engine, &key, RENEWAL_INTERVAL).await;
+                wait_until_due(engine, &key, RENEWAL_INTERVAL).await;
             }
             _ => {
-                let pause = RETRY_PAUSE * 2_u32.pow(failures.min(MAX_DOUBLINGS));
+                let pause = RETRY_PAUSE * 2_u32.pow(failures.min(MAX_PAUSE_DOUBLINGS));
                 failures += 1;
                 sleep(pause.mul_f64(0.5 + rand::random::<f64>())).await;
             }
@@ -126,61 +128,72 @@
     }
 }
 
-/// Returns after `pause`, or soon after the store has lost the record called `key`: a process
-/// without one gets no work of others.
-async fn until_due(engine: &Engine, key: &str, pause: Duration) {
-    let mut records = engine.terms().subscribe_others();
-    let lost = records.wait_for(|records| !records.contains_key(key));
-    if timeout(pause, lost).await.is_ok() {
+/// Returns after `pause`, or soon after the store has lost the record `key`: a process without a
+/// record gets no work from others.
+async fn wait_until_due(engine: &Engine, key: &str, pause: Duration) {
+    let mut records = engine.terms().subscribe_other_records();
+    let record_is_lost = records.wait_for(|records| !records.contains_key(key));
+    if timeout(pause, record_is_lost).await.is_ok() {
         sleep(RETRY_PAUSE.mul_f64(rand::random())).await;
     }
 }
 
-/// How many processes the fleet has, by its index or the records that are known.
+/// Number of processes in the fleet, from the known records or the fleet index.
 pub fn count(engine: &Engine) -> usize {
-    let others = engine.terms().subscribe_others();
+    let others = engine.terms().subscribe_other_records();
     let records = others.borrow();
     let nodes = records.keys().filter(|key| key.starts_with(KEY_PREFIX));
     match nodes.count() {
-        0 => FleetIndex::among(&records).map_or(0, |index| index.processes),
+        0 => FleetIndex::from_records(&records).map_or(0, |index| index.processes),
         known => known,
     }
 }
 
-/// Whether an earlier life of this process, or this one, has written its record.
+/// Whether a record of this process exists, written by it now or before a restart.
 pub fn is_registered(engine: &Engine) -> bool {
     let key = format!("{KEY_PREFIX}{}", engine.settings().node);
     own_record(engine, &key).is_some()
 }
 
 fn own_record(engine: &Engine, key: &str) -> Option<Record> {
-    engine.terms().subscribe_others().borrow().get(key).cloned()
+    engine
+        .terms()
+        .subscribe_other_records()
+        .borrow()
+        .get(key)
+        .cloned()
 }
 
-/// A process as its record was last seen.
+/// A process whose record was seen.
 #[derive(Debug)]
-struct SeenProcess {
+struct KnownProcess {
     version: u64,
-    at: Instant,
-    /// `None` where it answers nobody, or its record makes no sense.
+    seen_at: Instant,
+    /// `None` if it has no address for other processes, or its record is malformed.
     peer: Option<Peer>,
 }
 
-/// Divides the members' connections anew whenever the fleet changes.
-pub async fn follow(engine: &Engine) {
-    let mut records = engine.terms().subscribe_others();
-    let mut seen = HashMap::new();
+/// Updates the peers and the number of processes whenever the fleet changes.
+pub async fn update_fleet(engine: &Engine) {
+    let mut records = engine.terms().subscribe_other_records();
+    let mut known_processes = HashMap::new();
     loop {
-        note_processes(&records.borrow_and_update(), &mut seen, Instant::now());
-        let index = match seen.is_empty() {
-            true => FleetIndex::among(&records.borrow()),
+        update_processes(
+            &records.borrow_and_update(),
+            &mut known_processes,
+            Instant::now(),
+        );
+        let index = match known_processes.is_empty() {
+            true => FleetIndex::from_records(&records.borrow()),
             false => None,
         };
         let (peers, processes) = match index {
             Some(index) => (index.followers, index.processes),
-            None => (peers_of(&seen), seen.len()),
+            None => (peers_of(&known_processes), known_processes.len()),
         };
-        engine.homes().set_fleet(with_own(engine, peers), processes);
+        engine
+            .homes()
+            .set_fleet(with_own_process(engine, peers), processes);
         engine.set_processes(processes.max(1));
         if records.changed().await.is_err() {
             return;
@@ -188,8 +201,8 @@
     }
 }
 
-/// The processes that can be homes, this one included, in an order that is always the same.
-fn with_own(engine: &Engine, peers: Vec<Peer>) -> Vec<Peer> {
+/// The processes that can be homes, including this one, sorted by node name.
+fn with_own_process(engine: &Engine, peers: Vec<Peer>) -> Vec<Peer> {
     let own = engine.settings().peer_address.map(|address| Peer {
         node: engine.settings().node.clone(),
         address,
@@ -203,32 +216,36 @@
     peers
 }
 
-fn peers_of(seen: &HashMap<String, SeenProcess>) -> Vec<Peer> {
-    let peers = seen.values().filter_map(|process| process.peer.clone());
+fn peers_of(known_processes: &HashMap<String, KnownProcess>) -> Vec<Peer> {
+    let peers = known_processes
+        .values()
+        .filter_map(|process| process.peer.clone());
     peers.collect()
 }
 
-/// Takes note of the processes whose record has changed lately, and forgets the others.
-fn note_processes(
+/// Records the processes whose record has changed recently, and drops the others.
+fn update_processes(
     records: &HashMap<String, Record>,
-    seen: &mut HashMap<String, SeenProcess>,
+    known_processes: &mut HashMap<String, KnownProcess>,
     now: Instant,
 ) {
     let processes = records.values().filter(|r| r.key.starts_with(KEY_PREFIX));
     for record in processes {
         let version = record.version;
-        let known = seen.get(&record.key).map(|process| process.version);
+        let known = known_processes
+            .get(&record.key)
+            .map(|process| process.version);
         if known != Some(version) {
             let peer = read_peer(record);
-            let process = SeenProcess {
+            let process = KnownProcess {
                 version,
-                at: now,
+                seen_at: now,
                 peer,
             };
-            seen.insert(record.key.clone(), process);
+            known_processes.insert(record.key.clone(), process);
         }
     }
-    seen.retain(|_, process| now.duration_since(process.at) < RECORD_LIFE);
+    known_processes.retain(|_, process| now.duration_since(process.seen_at) < RECORD_TTL);
 }
 
 fn read_peer(record: &Record) -> Option<Peer> {
--- a/crates/engine/src/leadership/mod.rs
+++ b/crates/engine/src/leadership/mod.rs
@@ -1,30 +1,30 @@
-//! Who leads a group: following the records of it, suspecting a leader, and promoting
-//! another.
+//! Leadership of groups: following the term records, detecting failed leaders and promoting
+//! replacements.
 //!
-//! Every process follows the records ([`follower`]) and watches the leaders that it uses
-//! ([`suspicion`]). One of them holds the lease for promotions ([`duty`]); it acts on its
-//! own suspicions and on those that the others have recorded, and changes a leader by the
+//! Every process follows the term records ([`follower`]) and monitors the leaders that it uses
+//! ([`suspicion`]). One process holds the promotion lease ([`promotion_lease`]). It acts on its
+//! own suspicions and on those that other processes have recorded, and replaces a leader by the
 //! steps of [`promotion`].
 
 pub mod access;
 pub mod choice;
-pub mod duty;
-pub mod evacuating;
 pub mod fleet;
 mod fleet_index;
 pub mod follower;
 pub mod freshness;
+pub mod leader_evacuation;
 pub(crate) mod lease_records;
 pub mod promotion;
+pub mod promotion_lease;
 pub mod record;
 mod report;
-mod rewriting;
 pub mod roster;
 mod settling;
+mod step_events;
 pub mod survey;
 pub mod suspicion;
-mod telling;
-pub(crate) mod vouching;
+pub(crate) mod term_confirmation;
+mod term_recovery;
 mod watcher;
 
 use crate::engine::Engine;
@@ -38,26 +38,26 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Interval in which lapsed entries are looked at.
+/// Interval between checks for lapsed directory entries.
 const LAPSE_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause before the store is asked again who leads a group that was never promoted.
+/// Pause between store reads while the leader of a group that was never promoted is unknown.
 const FIRST_LEADER_PAUSE: Duration = Duration::from_millis(100);
 
-/// Follows, watches and changes leaderships until the process ends.
+/// Runs all leadership tasks of this process until it ends.
 pub async fn run(engine: Arc<Engine>, promoter: Arc<dyn Promoter>) {
-    let duty = Arc::clone(engine.duty());
+    let lease = Arc::clone(engine.promotion_lease());
     tokio::join!(
         engine.terms().follow(&engine),
         learn_first_leaders(&engine),
-        duty.pursue(&engine),
-        watcher::watch(&engine, &promoter, &duty),
+        lease.run(&engine),
+        watcher::watch(&engine, &promoter, &lease),
         fleet::register(&engine),
-        rewriting::rewrite_lost(&engine),
-        roster::keep(&engine, &duty),
-        fleet::follow(&engine),
-        fleet_index::keep(&engine, &duty),
-        vouching::keep(&engine),
-        following::follow(&engine, &duty),
+        term_recovery::rewrite_lost_terms(&engine),
+        roster::maintain(&engine, &lease),
+        fleet::update_fleet(&engine),
+        fleet_index::maintain(&engine, &lease),
+        term_confirmation::maintain(&engine),
+        following::follow(&engine, &lease),
         follow_directory(&engine),
         end_lapses(&engine),
         rate::run(&engine),
@@ -66,15 +66,15 @@
     );
 }
 
-/// Looks for entries that were expected back and have not come.
+/// Periodically marks members as gone whose lapsed entries have not returned in time.
 async fn end_lapses(engine: &Engine) {
     loop {
         sleep(LAPSE_INTERVAL).await;
-        engine.end_lapses();
+        engine.expire_lapsed_members();
     }
 }
 
-/// A leader may come back under another name.
+/// Applies directory changes to the groups: a leader may return under another member id.
 async fn follow_directory(engine: &Engine) {
     let mut directory = engine.subscribe_directory();
     while directory.changed().await.is_ok() {
@@ -82,7 +82,7 @@
     }
 }
 
-/// Reads the records anew while the directory knows a group whose leader is not known.
+/// Rereads the records while the directory lists a group whose leader is unknown.
 async fn learn_first_leaders(engine: &Engine) {
     let mut directory = engine.subscribe_directory();
     let mut configuration = engine.subscribe_configuration();
@@ -90,11 +90,11 @@
         while let Some(group) = group_without_leader(engine)
             && engine.following().is_direct()
         {
-            // A failure is told by the task that follows the records.
+            // The task that follows the records reports failures.
             let _ = engine.terms().refresh(engine, &group, Instant::now()).await;
             sleep(FIRST_LEADER_PAUSE).await;
         }
-        // The senders live as long as the engine does.
+        // The senders live as long as the engine, so `changed` can't fail.
         tokio::select! {
             _ = directory.changed() => {}
             _ = configuration.changed() => {}
--- a/crates/engine/src/leadership/roster.rs
+++ b/crates/engine/src/leadership/roster.rs
@@ -1,18 +1,18 @@
-//! The members of each group, as they are kept in the store.
+//! The members of each group, as recorded in the store.
 //!
-//! A change of leader must hear of every member that can hold an acknowledged commit. The
-//! servers' entries don't tell that: the entry of one that is away goes. Processes remember
-//! it for a while, but all of them may end at once, and then the next holder of the lease
-//! would take the members that are there for all of them. So the holder keeps a record of
-//! each group's members, gone ones included for as long as they are remembered, and a
-//! promotion reads it before it asks the members.
-
-use super::duty::Duty;
+//! A change of leader must consider every member that can hold an acknowledged commit. The
+//! directory entries are not enough for that: the entry of a server that is away expires.
+//! Processes remember such a server for a while, but if all of them restart at once, the next
+//! lease holder would take the members present for all members. So the holder keeps a record of
+//! each group's members, gone ones included for as long as they are remembered, and a promotion
+//! reads it before it surveys the members.
+
+use super::promotion_lease::PromotionLease;
 use crate::directory::{Departure, Member, MemberState, Role};
 use crate::encoding;
 use crate::engine::Engine;
 use crate::names::{GroupName, MemberId, ZoneName};
-use crate::ports::{PUTS_AT_ONCE, PutOutcome, Record, RecordPut, RecordStoreError};
+use crate::ports::{MAX_PUTS_PER_CALL, PutOutcome, Record, RecordPut, RecordStoreError};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,26 +21,26 @@
 
 /// Prefix of the keys of these records.
 const KEY_PREFIX: &str = "roster/";
-/// Interval in which the holder of the lease compares the records with the entries.
+/// Interval at which the lease holder compares the records with the directory entries.
 const COMPARE_INTERVAL: Duration = Duration::from_millis(150);
-/// Time without a further member after which a group that has no record is complete: servers of
-/// one group start together.
-const JOINING: Duration = Duration::from_secs(1);
+/// Time without a new member after which a group that has no record counts as complete: the
+/// servers of one group start together.
+const JOIN_SETTLE_TIME: Duration = Duration::from_secs(1);
 /// Pause after a failed write.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
 
-/// A member, as far as a change of leader has to know it.
+/// What a change of leader has to know of a member.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RosterMember {
-    /// Its identity.
+    /// Its id.
     pub id: MemberId,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
 }
 
-/// The members of a group, by their ids.
+/// The members of a group, sorted by id.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
     /// The members.
@@ -53,7 +53,7 @@
         format!("{KEY_PREFIX}{group}")
     }
 
-    /// The members of `group` as this process knows them.
+    /// The members of `group` in this process's directory.
     fn of(engine: &Engine, group: &str) -> Self {
         let members = engine.directory().members_of(group);
         let members = members.iter().map(|member| RosterMember {
@@ -71,16 +71,16 @@
     }
 }
 
-/// Groups without a record, and since when their members are what they are.
+/// Groups without a record, with their members and the time since which those are unchanged.
 type NewGroups = HashMap<GroupName, (Roster, Instant)>;
 
-/// Keeps the records while this process holds the lease.
-pub async fn keep(engine: &Engine, duty: &Duty) {
+/// Keeps the records up to date while this process holds the lease.
+pub async fn maintain(engine: &Engine, lease: &PromotionLease) {
     let mut new_groups = NewGroups::new();
     let mut compared = None;
     loop {
         sleep(COMPARE_INTERVAL).await;
-        if duty.check().is_none() {
+        if lease.check().is_none() {
             continue;
         }
         let versions = (
@@ -91,41 +91,41 @@
         if compared == Some(versions) {
             continue;
         }
-        let mut is_done = true;
-        let mut due = Vec::new();
+        let mut is_complete = true;
+        let mut puts_due = Vec::new();
         for group in engine.configured_groups() {
-            match comparison(engine, &group, &mut new_groups) {
+            match compare(engine, &group, &mut new_groups) {
                 Comparison::Same => {}
-                Comparison::Joining => is_done = false,
-                Comparison::Due(put) => due.push(put),
+                Comparison::Joining => is_complete = false,
+                Comparison::Due(put) => puts_due.push(put),
             }
         }
-        for puts in due.chunks(PUTS_AT_ONCE) {
-            if let Err(error) = write(engine, puts).await {
-                is_done = false;
+        for puts in puts_due.chunks(MAX_PUTS_PER_CALL) {
+            if let Err(error) = write_records(engine, puts).await {
+                is_complete = false;
                 log::warn!(
-                    "the members of {} groups were not recorded: {error}",
+                    "failed to record the members of {} groups: {error}",
                     puts.len()
                 );
                 sleep(RETRY_PAUSE).await;
             }
         }
-        compared = is_done.then_some(versions);
+        compared = is_complete.then_some(versions);
     }
 }
 
-/// How the record of a group compares with the entries.
+/// Result of comparing the record of a group with the directory entries.
 enum Comparison {
     Same,
-    /// There is none yet, and members still join.
+    /// There is no record yet, and members are still joining.
     Joining,
-    /// It is to be written.
+    /// The record has to be written.
     Due(RecordPut),
 }
 
-fn comparison(engine: &Engine, group: &GroupName, new_groups: &mut NewGroups) -> Comparison {
+fn compare(engine: &Engine, group: &GroupName, new_groups: &mut NewGroups) -> Comparison {
     let key = Roster::key(group);
-    let others = engine.terms().subscribe_others();
+    let others = engine.terms().subscribe_other_records();
     let known = others.borrow().get(&key).cloned();
     let current = Roster::of(engine, group);
     if known.as_ref().and_then(Roster::decode).as_ref() == Some(&current) {
@@ -142,21 +142,21 @@
     })
 }
 
-/// Writes the records of several groups in one call: the servers of a whole fleet register at its
-/// start. Where another process has written one of them meanwhile, each is written by itself, and
-/// that one is left to the next comparison.
-async fn write(engine: &Engine, puts: &[RecordPut]) -> Result<(), RecordStoreError> {
+/// Writes the records of several groups in one call, because the servers of the whole fleet
+/// register when it starts. If another process has written one of them meanwhile, each record is
+/// written by itself, and the conflicting one is left to the next comparison.
+async fn write_records(engine: &Engine, puts: &[RecordPut]) -> Result<(), RecordStoreError> {
     let terms = engine.terms();
-    if terms.put_others(puts.to_vec()).await? == PutOutcome::Conflict && puts.len() > 1 {
+    if terms.put_other_records(puts.to_vec()).await? == PutOutcome::Conflict && puts.len() > 1 {
         for put in puts {
-            terms.put_others(vec![put.clone()]).await?;
+            terms.put_other_records(vec![put.clone()]).await?;
         }
     }
     Ok(())
 }
 
-/// Whether the members of a group without a record still join it: its servers have just started,
-/// and each of them would cost a further record.
+/// Whether members are still joining a group without a record. Its servers have just started, and
+/// each of them would cost another write.
 fn is_joining(group: &GroupName, current: &Roster, new_groups: &mut NewGroups) -> bool {
     let now = Instant::now();
     let first = (Roster::default(), now);
@@ -164,39 +164,39 @@
     if members != current {
         (*members, *since) = (current.clone(), now);
     }
-    now.duration_since(*since) < JOINING
+    now.duration_since(*since) < JOIN_SETTLE_TIME
 }
 
-/// Takes a record that was read or has changed, if it is a roster: its members are known
-/// from then on, for as long as gone members are remembered.
-pub fn take(engine: &Engine, record: &Record) {
+/// Applies a record that was read or has changed, if it is a roster. Its members are known from
+/// then on, for as long as gone members are remembered.
+pub fn apply_record(engine: &Engine, record: &Record) {
     let Some(group) = record.key.strip_prefix(KEY_PREFIX) else {
         return;
     };
     if let Some(roster) = Roster::decode(record) {
-        remember(engine, &GroupName::from(group), roster);
+        add_missing_as_gone(engine, &GroupName::from(group), roster);
     }
 }
 
-/// Reads the record of `group` now, and remembers its members.
+/// Reads the record of `group` now and adds its members to the directory.
 ///
 /// # Errors
 ///
-/// [`RecordStoreError`] where the store gave no answer.
-pub async fn recall(engine: &Engine, group: &GroupName) -> Result<(), RecordStoreError> {
+/// [`RecordStoreError`] if the store did not answer.
+pub async fn load(engine: &Engine, group: &GroupName) -> Result<(), RecordStoreError> {
     let key = Roster::key(group);
     let read = engine.terms().store().read(&key).await?;
     let record = read.written.iter().find(|record| record.key == key);
     if let Some(roster) = record.and_then(Roster::decode) {
-        remember(engine, group, roster);
+        add_missing_as_gone(engine, group, roster);
     }
     Ok(())
 }
 
-/// Takes members whose entries are not there for gone, from now on.
-fn remember(engine: &Engine, group: &GroupName, roster: Roster) {
+/// Adds recorded members that have no entry to the directory, as gone from now on.
+fn add_missing_as_gone(engine: &Engine, group: &GroupName, roster: Roster) {
     let departure = Departure {
-        learned: Instant::now(),
+        learned_at: Instant::now(),
         earliest: None,
         lapsed_until: None,
     };
@@ -211,5 +211,5 @@
         state: MemberState::Gone(departure),
         changed: 0,
     });
-    engine.remember_members(members.collect());
+    engine.add_missing_members(members.collect());
 }
--- a/crates/engine/src/leadership/rewriting.rs
+++ b/crates/engine/src/leadership/term_recovery.rs
@@ -1,4 +1,4 @@
-//! Writes records of leaderships again that a restored store has lost.
+//! Rewrites term records that a restored store has lost.
 
 use super::follower::VersionedTerm;
 use super::record::TermRecord;
@@ -11,33 +11,33 @@
 /// Pause after a failed write.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Writes lost records again until the process ends. In a large fleet many know them: those do
-/// that follow the store themselves, and who wrote a record last.
-pub async fn rewrite_lost(engine: &Engine) {
+/// Rewrites lost records until the process ends. In a large fleet many processes know them; only
+/// those that follow the store directly and the last writer of a record rewrite it.
+pub async fn rewrite_lost_terms(engine: &Engine) {
     let mut lost = engine.terms().subscribe_lost();
-    // The sender lives as long as this does.
+    // The sender lives as long as the follower.
     while lost.wait_for(|groups| !groups.is_empty()).await.is_ok() {
         let groups = lost.borrow_and_update().clone();
-        let mut failed = false;
+        let mut has_failed = false;
         for group in groups {
-            failed |= rewrite(engine, &group).await.is_err();
+            has_failed |= rewrite_term(engine, &group).await.is_err();
         }
-        if failed {
+        if has_failed {
             sleep(RETRY_PAUSE.mul_f64(0.5 + rand::random::<f64>())).await;
         }
     }
 }
 
-/// Writes the record of `group` over what the store has, if that is for this process to do. Where
-/// another process has written meanwhile, what it wrote will be told.
-async fn rewrite(engine: &Engine, group: &GroupName) -> Result<(), RecordStoreError> {
+/// Writes the record of `group` over the store's, if this process is to do so. If another process
+/// has written one meanwhile, the feed delivers that.
+async fn rewrite_term(engine: &Engine, group: &GroupName) -> Result<(), RecordStoreError> {
     let terms = engine.terms();
     let known = terms.known(group);
-    let writes = |term: &VersionedTerm| {
+    let is_writer = |term: &VersionedTerm| {
         engine.following().is_direct() || term.record.holder == engine.settings().node
     };
-    let Some(term) = known.filter(writes) else {
-        terms.found(group);
+    let Some(term) = known.filter(is_writer) else {
+        terms.clear_lost(group);
         return Ok(());
     };
     let begun = Instant::now();
@@ -46,9 +46,9 @@
         .store()
         .put_if(&key, term.version, term.record.encode());
     let outcome = put.await?;
-    terms.found(group);
+    terms.clear_lost(group);
     if let PutOutcome::Stored(version) = outcome {
-        log::info!("the record of {group} was lost with its store's copy, and is written again");
+        log::info!("the store had lost the term record of group {group}: it was rewritten");
         let term = VersionedTerm { version, ..term };
         terms.apply_one(engine, term, Some(begun));
     }
--- a/crates/engine/src/peers/declared.rs
+++ b/crates/engine/src/peers/declared.rs
@@ -38,7 +38,7 @@
     let is_newer = directory.version > known.directory;
     DeclaredState {
         configuration: configuration.map(|newest| declare_configuration(engine, &newest, known)),
-        directory: is_newer.then(|| declare(&directory, known.directory, Instant::now())),
+        directory: is_newer.then(|| declare_directory(&directory, known.directory, Instant::now())),
         evacuations: is_evacuation_newer.then(|| Evacuations::clone(&evacuations)),
         complete_after_ms: complete_as_of.map(|at| signed_millis(asked, at)),
     }
@@ -75,8 +75,8 @@
 
 /// What has changed in `directory` after the version `known`: the whole of it where that can
 /// no longer be told.
-fn declare(directory: &Directory, known: u64, now: Instant) -> DeclaredDirectory {
-    let (extent, members) = match directory.changed_after(known) {
+fn declare_directory(directory: &Directory, known: u64, now: Instant) -> DeclaredDirectory {
+    let (extent, members) = match directory.changes_since(known) {
         Some(changed) => (
             DeclaredExtent::Changes,
             changed.map(|member| declare_member(member, now)).collect(),
@@ -102,7 +102,7 @@
     let departure = |gone: bool, departure: Departure| DeclaredDeparture {
         gone,
         lapsed_left_ms: departure.lapsed_until.map(left_ms),
-        learned_age_ms: age_ms(departure.learned),
+        learned_age_ms: age_ms(departure.learned_at),
         earliest_age_ms: departure.earliest.map(age_ms),
     };
     DeclaredMember {
@@ -124,8 +124,8 @@
 
 /// Asks a few processes for what is newer than what this one knows, and takes it. In a large
 /// fleet nobody is asked here: [`following`] asks those that follow the store.
-pub async fn ask(engine: &Engine) {
-    if following::follows_others(engine) {
+pub async fn query(engine: &Engine) {
+    if following::uses_relays(engine) {
         return;
     }
     let asked = Instant::now();
@@ -133,20 +133,20 @@
     let peers = choose_peers(engine);
     let questions = peers
         .iter()
-        .map(|peer| engine.peers().ask_declared(*peer, versions));
+        .map(|peer| engine.peers().query_declared(*peer, versions));
     let mut answers: FuturesUnordered<_> = questions.collect();
     while let Ok(Some(answer)) = timeout_at(asked + ANSWER_TIMEOUT, answers.next()).await {
         let Ok(state) = answer else { continue };
         metrics::counter!("stilequay_peer_answers_total").increment(1);
-        take(engine, state, asked);
+        apply(engine, state, asked);
     }
 }
 
 /// Takes what another process knew when it was asked at `asked`: ages only grow on the way,
 /// so a departure is taken to be older than it is, never younger.
-pub(crate) fn take(engine: &Engine, state: DeclaredState, asked: Instant) {
+pub(crate) fn apply(engine: &Engine, state: DeclaredState, asked: Instant) {
     let is_taken = match state.configuration {
-        Some(configuration) => take_configuration(engine, configuration),
+        Some(configuration) => apply_configuration(engine, configuration),
         None => true,
     };
     if let Some(evacuations) = state.evacuations {
@@ -170,21 +170,21 @@
     let directory = engine.directory();
     let next = match declared.extent {
         DeclaredExtent::Whole => {
-            directory.replaced(declared.version, members, Departure::at(asked))
+            directory.with_entries(declared.version, members, Departure::at(asked))
         }
-        DeclaredExtent::Changes => directory.merged(declared.version, members, asked),
+        DeclaredExtent::Changes => directory.merged_with(declared.version, members, asked),
     };
     engine.set_directory(next);
 }
 
 /// Takes a configuration that another process has told of; returns whether what is in use is
 /// that one or a later one. Changes of a version that is no longer in use can't be applied.
-fn take_configuration(engine: &Engine, declared: DeclaredConfiguration) -> bool {
+fn apply_configuration(engine: &Engine, declared: DeclaredConfiguration) -> bool {
     let configuration = match declared {
         DeclaredConfiguration::Whole(configuration) => Some(configuration),
         DeclaredConfiguration::Changes(changes) => {
             let known = engine.configuration();
-            known.and_then(|known| known.with(changes))
+            known.and_then(|known| known.apply(changes))
         }
     };
     match configuration {
@@ -220,7 +220,7 @@
 fn read_departure(declared: DeclaredDeparture, asked: Instant) -> MemberState {
     let before = |age_ms: u64| asked.checked_sub(Duration::from_millis(age_ms));
     let departure = Departure {
-        learned: before(declared.learned_age_ms).unwrap_or(asked),
+        learned_at: before(declared.learned_age_ms).unwrap_or(asked),
         earliest: declared.earliest_age_ms.and_then(before),
         lapsed_until: declared
             .lapsed_left_ms
--- a/crates/engine/src/session/evacuated.rs
+++ b/crates/engine/src/session/evacuated.rs
@@ -4,7 +4,7 @@
 use crate::engine::Engine;
 use crate::evacuation::{MayNotSend, Sender};
 use crate::group::Group;
-use crate::leadership::evacuating;
+use crate::leadership::leader_evacuation;
 use crate::residency::Residency;
 use crate::verdict::{Failure, FailureReason};
 use tokio::time::Instant;
@@ -23,7 +23,7 @@
 ) -> Result<(), Failure> {
     match consistency {
         Consistency::Leader => check_leader(engine, group),
-        _ => check_any(engine, group, residency),
+        _ => check_any_member(engine, group, residency),
     }
 }
 
@@ -45,26 +45,26 @@
     match schedule.check(&member.zone, Sender::Session, Instant::now()) {
         Ok(()) => Ok(()),
         Err(MayNotSend::Unproven) => Err(refusal(MayNotSend::Unproven)),
-        Err(MayNotSend::Evacuated) => match evacuating::has_successor(engine, member) {
+        Err(MayNotSend::Evacuated) => match leader_evacuation::has_successor(engine, member) {
             true => Ok(()),
             false => Err(refusal(MayNotSend::Evacuated)),
         },
     }
 }
 
-fn check_any(engine: &Engine, group: &Group, residency: &Residency) -> Result<(), Failure> {
+fn check_any_member(engine: &Engine, group: &Group, residency: &Residency) -> Result<(), Failure> {
     let schedule = engine.evacuation_schedule();
     let now = Instant::now();
-    let mut held_back = None;
+    let mut refused = None;
     let topology = &engine.settings().topology;
     let members = engine.directory().members_of(group.name());
     for member in residency.select(topology, members) {
         match schedule.check(&member.get().zone, Sender::Session, now) {
             Ok(()) => return Ok(()),
-            Err(reason) => held_back = Some(reason),
+            Err(reason) => refused = Some(reason),
         }
     }
-    held_back.map_or(Ok(()), |reason| Err(refusal(reason)))
+    refused.map_or(Ok(()), |reason| Err(refusal(reason)))
 }
 
 fn refusal(reason: MayNotSend) -> Failure {
--- a/crates/engine/src/session/write.rs
+++ b/crates/engine/src/session/write.rs
@@ -1,7 +1,7 @@
 //! Single writes: at the leader, at most once.
 
 use super::evacuated::check_leader;
-use super::limits::{RETRY_PAUSE, StatementLimits};
+use super::limits::{RETRY_PAUSE, StatementDeadlines};
 use super::target::{Target, check_leader_region, leader_target};
 use super::trace::RequestTrace;
 use super::{Completion, Session};
@@ -9,7 +9,9 @@
 use crate::group::{Group, UsableLeader};
 use crate::leadership::access;
 use crate::names::RequestId;
-use crate::pool::{AcquireError, Claim, MemberPool, PooledConnection, RunError, Work};
+use crate::pool::{
+    AcquireError, AcquireRequest, MemberPool, PooledConnection, RunError, SessionStatement,
+};
 use crate::ports::{Answer, Refusal, RefusalKind};
 use crate::statement::{Request, TransactionState};
 use crate::verdict::{Failure, FailureReason, MemberFailure};
@@ -20,10 +22,10 @@
 /// One write, as it is given to a leader.
 struct WriteJob<'a> {
     id: &'a RequestId,
-    work: &'a Work,
-    claim: Claim,
+    work: &'a SessionStatement,
+    acquire_request: AcquireRequest,
     group: &'a Group,
-    limits: StatementLimits,
+    deadlines: StatementDeadlines,
 }
 
 /// What came of giving a statement to a member once.
@@ -70,7 +72,7 @@
 impl Awaited<Result<Answer, RunError>> {
     /// The answer to what was sent at `sent`. One that is missing is told in `trace`, and
     /// a member's silence is noted.
-    pub(super) fn told(
+    pub(super) fn into_answer(
         self,
         pool: &MemberPool,
         sent: Instant,
@@ -80,19 +82,19 @@
         match self {
             Awaited::Answered(Ok(answer)) => Ok(answer),
             Awaited::Answered(Err(error)) => {
-                trace.attempted(member, error.to_string());
+                trace.record_attempt(member, error.to_string());
                 Err(match error {
-                    RunError::Before(_) => Unanswered::NotSent,
-                    RunError::After(_) => Unanswered::Lost,
+                    RunError::BeforeSend(_) => Unanswered::NotSent,
+                    RunError::AfterSend(_) => Unanswered::Lost,
                 })
             }
             Awaited::TimedOut => {
-                trace.attempted(member, "no answer in time");
-                pool.note_unanswered(sent);
+                trace.record_attempt(member, "no answer in time");
+                pool.record_timeout(sent);
                 Err(Unanswered::TimedOut)
             }
             Awaited::Superseded => {
-                trace.attempted(member, "superseded before its answer");
+                trace.record_attempt(member, "superseded before its answer");
                 Err(Unanswered::Superseded)
             }
         }
@@ -105,11 +107,11 @@
         &mut self,
         request: &Request,
         route: &Arc<Route>,
-        work: Work,
+        work: SessionStatement,
         trace: &mut RequestTrace,
     ) -> Result<Completion, Failure> {
         let group = self.engine.group(&route.group);
-        let limits = self.limits(route, &group, request.received);
+        let deadlines = self.deadlines(route, &group, request.received);
         let mut permit = None;
         loop {
             let residency = self.residency(route);
@@ -117,27 +119,27 @@
             if group.commits_stalled() {
                 return Err(Failure::not_run(FailureReason::NoReplica));
             }
-            let Some(leader) = access::writable_leader(&group, limits.offer).await else {
+            let Some(leader) = access::writable_leader(&group, deadlines.acquire).await else {
                 return Err(Failure::not_run(FailureReason::NoLeader));
             };
             check_leader(&self.engine, &group)?;
             // A permit would be drawn for nothing, and its lack told as the reason.
             let Some(target) = leader_target(&self.engine, &leader, &residency)? else {
-                pause_or_refuse(limits, FailureReason::NoLeader).await?;
+                pause_before_retry(deadlines, FailureReason::NoLeader).await?;
                 continue;
             };
-            let drawn = self.permit(permit, limits).await?;
+            let drawn = self.permit(permit, deadlines).await?;
             permit = Some(drawn);
             let job = WriteJob {
                 id: &request.id,
                 work: &work,
-                claim: self.claim(route),
+                acquire_request: self.acquire_request(route),
                 group: &group,
-                limits: StatementLimits::new(route, request.received).under(drawn),
+                deadlines: StatementDeadlines::new(route, request.received).within_permit(drawn),
             };
             match self.write_once(job, &leader, target, trace).await {
                 Attempt::Decided(outcome) => return outcome,
-                Attempt::NotRun(reason) => pause_or_refuse(limits, reason).await?,
+                Attempt::NotRun(reason) => pause_before_retry(deadlines, reason).await?,
             }
         }
     }
@@ -149,29 +151,31 @@
         target: Target,
         trace: &mut RequestTrace,
     ) -> Attempt<Completion> {
-        let WriteJob { group, limits, .. } = job;
-        let acquired = target.acquire(&self.engine, &job.claim, limits.offer);
+        let WriteJob {
+            group, deadlines, ..
+        } = job;
+        let acquired = target.acquire(&self.engine, &job.acquire_request, deadlines.acquire);
         let mut connection = match acquired.await {
             Ok(connection) => connection,
             Err(error) => {
-                trace.attempted(&leader.member, error.to_string());
-                return acquire_failure(&error);
+                trace.record_attempt(&leader.member, error.to_string());
+                return acquire_error_outcome(&error);
             }
         };
-        if let Err(error) = connection.put_values(&self.values).await {
-            trace.attempted(&leader.member, error.to_string());
+        if let Err(error) = connection.apply_values(&self.values).await {
+            trace.record_attempt(&leader.member, error.to_string());
             return Attempt::NotRun(FailureReason::ConnectionLost);
         }
         let sent = Instant::now();
         if !target.pool().is_remote() {
             group.record_commit_sent(sent);
         }
-        let running = connection.run_work(job.id, job.work, None);
-        let awaited = await_answer(running, group, leader, limits.answer).await;
-        self.judge_write(awaited, connection, group, leader, sent, trace)
+        let running = connection.run_statement(job.id, job.work, None);
+        let awaited = await_answer(running, group, leader, deadlines.answer).await;
+        self.write_outcome(awaited, connection, group, leader, sent, trace)
     }
 
-    fn judge_write(
+    fn write_outcome(
         &mut self,
         awaited: Awaited<Result<Answer, RunError>>,
         connection: PooledConnection,
@@ -180,7 +184,7 @@
         sent: Instant,
         trace: &mut RequestTrace,
     ) -> Attempt<Completion> {
-        let answer = match awaited.told(connection.pool(), sent, trace) {
+        let answer = match awaited.into_answer(connection.pool(), sent, trace) {
             Ok(answer) => answer,
             Err(missing @ Unanswered::NotSent) => return Attempt::NotRun(missing.reason()),
             Err(missing) => return Attempt::Decided(Err(Failure::may_have_run(missing.reason()))),
@@ -188,22 +192,22 @@
         release(connection, answer.state);
         match answer.outcome {
             Ok(signature) => {
-                trace.attempted(&leader.member, "completed");
-                self.note_commit(group, leader, sent, &answer.position);
+                trace.record_attempt(&leader.member, "completed");
+                self.record_commit(group, leader, sent, &answer.position);
                 Attempt::Decided(Ok(Completion {
                     rows: answer.rows,
                     signature: Some(signature),
                 }))
             }
             Err(refusal) => {
-                trace.attempted(&leader.member, refusal_text(&refusal));
-                judge_refusal(refusal)
+                trace.record_attempt(&leader.member, refusal_text(&refusal));
+                refusal_outcome(refusal)
             }
         }
     }
 
     /// Takes an acknowledged commit into the session's floor and the group's beliefs.
-    pub(super) fn note_commit(
+    pub(super) fn record_commit(
         &mut self,
         group: &Group,
         leader: &UsableLeader,
@@ -212,7 +216,8 @@
     ) {
         let replicated = self.engine.sync_replicas(group.name()) > 0;
         group.record_commit(leader, sent, *position, replicated);
-        self.floor.committed(group.name(), leader.epoch, *position);
+        self.floor
+            .record_commit(group.name(), leader.epoch, *position);
     }
 }
 
@@ -227,7 +232,7 @@
         biased;
         answer = running => Awaited::Answered(answer),
         () = tokio::time::sleep_until(until) => Awaited::TimedOut,
-        () = access::superseded(group, leader.epoch) => Awaited::Superseded,
+        () = access::wait_until_superseded(group, leader.epoch) => Awaited::Superseded,
     }
 }
 
@@ -243,11 +248,11 @@
 }
 
 /// Waits before another try, or refuses where there is no time for one.
-pub(super) async fn pause_or_refuse(
-    limits: StatementLimits,
+pub(super) async fn pause_before_retry(
+    deadlines: StatementDeadlines,
     reason: FailureReason,
 ) -> Result<(), Failure> {
-    if Instant::now() + RETRY_PAUSE >= limits.offer {
+    if Instant::now() + RETRY_PAUSE >= deadlines.acquire {
         return Err(Failure::not_run(reason));
     }
     sleep(RETRY_PAUSE).await;
@@ -262,10 +267,10 @@
 }
 
 /// What becomes of a statement for which there was no connection.
-pub(super) fn acquire_failure<T>(error: &AcquireError) -> Attempt<T> {
+pub(super) fn acquire_error_outcome<T>(error: &AcquireError) -> Attempt<T> {
     match error {
         AcquireError::Shed(retry_after) | AcquireError::SlowStart(retry_after) => {
-            Attempt::Decided(Err(shed(*retry_after)))
+            Attempt::Decided(Err(shed_failure(*retry_after)))
         }
         AcquireError::Exhausted => Attempt::NotRun(FailureReason::Overloaded),
         AcquireError::Unreachable(_) | AcquireError::WrongMember | AcquireError::MayNotSend(_) => {
@@ -276,7 +281,7 @@
 }
 
 /// What a caller is told whose request is not to wait any longer.
-pub(super) fn shed(retry_after: Duration) -> Failure {
+pub(super) fn shed_failure(retry_after: Duration) -> Failure {
     Failure::not_run(FailureReason::Overloaded).with_retry_after(retry_after)
 }
 
@@ -294,9 +299,9 @@
     }
 }
 
-pub(super) fn judge_refusal<T>(refusal: Refusal) -> Attempt<T> {
+pub(super) fn refusal_outcome<T>(refusal: Refusal) -> Attempt<T> {
     if let RefusalKind::Shed(retry_after) | RefusalKind::SlowStart(retry_after) = refusal.kind {
-        return Attempt::Decided(Err(shed(retry_after)));
+        return Attempt::Decided(Err(shed_failure(retry_after)));
     }
     match not_run_reason(refusal.kind) {
         Some(reason) => Attempt::NotRun(reason),
--- a/crates/engine/src/slow_start/guard.rs
+++ b/crates/engine/src/slow_start/back_end.rs
@@ -1,17 +1,17 @@
-//! Counting statements where they leave this process.
+//! Enforces the slow start limit where statements leave this process.
 //!
-//! All connections that this process opens to members go through [`GuardedBackEnd`]: those of
-//! its sessions, those of others for which it is a home, those for which it reached no home,
-//! and those for orders.
+//! All direct connections of this process to members go through [`SlowStartBackEnd`]: those of
+//! its sessions, those it opens as a home on behalf of other processes, those opened because no
+//! home was reachable, and those for control commands.
 
-use super::window::{SEND_TIME, Turn, WINDOW};
+use super::window::{SEND_TIME, SendPriority, WINDOW};
 use crate::directory::Member;
 use crate::engine::Engine;
 use crate::evacuation::Sender;
 use crate::names::{MemberId, TenantName, ZoneName};
 use crate::ports::{
-    Admission, Answer, BackEnd, BackEndConnection, Command, ConnectError, Control, LinkError,
-    MemberReport, Refusal, RefusalKind,
+    Admission, Answer, BackEnd, BackEndConnection, BackEndConnectionError, Command, ConnectError,
+    Control, MemberReport, Refusal, RefusalKind,
 };
 use crate::statement::TransactionState;
 use async_trait::async_trait;
@@ -20,77 +20,78 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest wait of a later statement of a transaction. By then a place is free in any case,
-/// unless more transactions are open than the share has places.
-const LATER_WAIT: Duration = WINDOW;
+/// Longest wait of a later statement of a transaction. Within this time the share always allows
+/// one, unless more transactions are open than the share has statements.
+const LATER_STATEMENT_WAIT: Duration = WINDOW;
 
-/// Opens connections whose statements are counted while their member is cold.
+/// Back end whose connections count their statements while the member is cold.
 #[derive(Debug)]
-pub struct GuardedBackEnd {
+pub struct SlowStartBackEnd {
     engine: Weak<Engine>,
     inner: Arc<dyn BackEnd>,
 }
 
-impl GuardedBackEnd {
-    /// For the process of `engine`, which connects by way of `inner`.
+impl SlowStartBackEnd {
+    /// Wraps `inner`, through which the process of `engine` connects.
     pub fn new(engine: Weak<Engine>, inner: Arc<dyn BackEnd>) -> Self {
         Self { engine, inner }
     }
 }
 
 #[async_trait]
-impl BackEnd for GuardedBackEnd {
+impl BackEnd for SlowStartBackEnd {
     async fn connect(
         &self,
         member: &Member,
         tenant: Option<&TenantName>,
     ) -> Result<Box<dyn BackEndConnection>, ConnectError> {
         let inner = self.inner.connect(member, tenant).await?;
-        Ok(Box::new(GuardedConnection {
+        Ok(Box::new(SlowStartConnection {
             engine: Weak::clone(&self.engine),
             member: member.id.clone(),
             zone: member.zone.clone(),
             inner,
-            counted: None,
+            counted_at: None,
             state: TransactionState::Idle,
         }))
     }
 }
 
-/// A connection to a member that may be cold.
+/// Connection that counts its statements while the member is cold.
 #[derive(Debug)]
-struct GuardedConnection {
+struct SlowStartConnection {
     engine: Weak<Engine>,
     member: MemberId,
     zone: ZoneName,
     inner: Box<dyn BackEndConnection>,
-    /// When the next statement was counted, if it was.
-    counted: Option<Instant>,
+    /// When the next statement was counted, if it already was.
+    counted_at: Option<Instant>,
     state: TransactionState,
 }
 
-impl GuardedConnection {
-    /// The engine, where there is anything to count.
+impl SlowStartConnection {
+    /// The engine, if any group has a slow start.
     fn counting_engine(&self) -> Option<Arc<Engine>> {
         let engine = self.engine.upgrade()?;
-        engine.slow_starts().is_used().then_some(engine)
+        engine.slow_starts().is_enabled().then_some(engine)
     }
 
-    /// Counts a statement that is about to be sent, unless it was counted just before.
+    /// Counts a statement that is about to be sent, unless it was counted within [`SEND_TIME`].
     async fn count(&mut self) -> Result<(), Duration> {
         let Some(engine) = self.counting_engine() else {
             return Ok(());
         };
-        let counted = self.counted.take();
-        if counted.is_some_and(|at| at.elapsed() <= SEND_TIME) {
+        let counted_at = self.counted_at.take();
+        if counted_at.is_some_and(|at| at.elapsed() <= SEND_TIME) {
             return Ok(());
         }
-        let until = Instant::now() + LATER_WAIT;
-        super::pass(&engine, &self.member, Turn::First(until)).await?;
-        // The wait may have reached over the end of an evacuation.
+        let until = Instant::now() + LATER_STATEMENT_WAIT;
+        super::admit_statement(&engine, &self.member, SendPriority::First(until)).await?;
+        // The time by which an evacuation takes effect may have passed during the wait.
         let schedule = engine.evacuation_schedule();
         let may_send = schedule.check(&self.zone, Sender::Home, Instant::now());
-        // Told as if it were cold: nothing was sent, and it may come back.
+        // Reported like an exhausted slow start: nothing was sent, and the statement may be
+        // retried.
         may_send.map_err(|_| WINDOW)
     }
 
@@ -108,15 +109,15 @@
     }
 }
 
-/// Whether `command` counts. The others take no place at the member.
-fn counts(command: &Command) -> bool {
+/// Whether `command` counts against the limit. Other commands do not occupy the member.
+fn is_counted(command: &Command) -> bool {
     command.is_statement() || matches!(command, Command::Begin { .. })
 }
 
 #[async_trait]
-impl BackEndConnection for GuardedConnection {
-    async fn run(&mut self, command: &Command) -> Result<Answer, LinkError> {
-        if counts(command)
+impl BackEndConnection for SlowStartConnection {
+    async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError> {
+        if is_counted(command)
             && let Err(retry_after) = self.count().await
         {
             return Ok(self.refused(retry_after));
@@ -126,11 +127,11 @@
         Ok(answer)
     }
 
-    async fn control(&mut self, control: Control) -> Result<MemberReport, LinkError> {
+    async fn control(&mut self, control: Control) -> Result<MemberReport, BackEndConnectionError> {
         if control == Control::Status
             && let Some(engine) = self.counting_engine()
         {
-            super::note_report(&engine, &self.member);
+            super::count_report(&engine, &self.member);
         }
         self.inner.control(control).await
     }
@@ -144,11 +145,12 @@
     }
 
     async fn pace(&mut self, until: Instant) -> Result<(), Duration> {
-        self.counted = None;
+        self.counted_at = None;
         let Some(engine) = self.counting_engine() else {
             return Ok(());
         };
-        self.counted = super::pass(&engine, &self.member, Turn::InOrder(until)).await?;
+        self.counted_at =
+            super::admit_statement(&engine, &self.member, SendPriority::InOrder(until)).await?;
         Ok(())
     }
 }
--- a/crates/engine/tests/peers.rs
+++ b/crates/engine/tests/peers.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 use stilequay_engine::configuration::Route;
 use stilequay_engine::directory::{
-    Departure, Directory, DirectoryChange, GONE_MEMORY, Member, MemberState,
+    Departure, Directory, DirectoryChange, GONE_RETENTION, Member, MemberState,
 };
 use stilequay_engine::leadership::record::{TermPhase, TermRecord};
-use stilequay_engine::peers::{TcpPeers, ask, declared, serve};
+use stilequay_engine::peers::{TcpPeers, declared, query, serve};
 use stilequay_engine::ports::{
     DeclaredConfiguration, DeclaredExtent, DeclaredVersions, PeerNetwork,
 };
@@ -90,7 +90,10 @@
     let address = listener.local_addr().expect("an address");
     tokio::spawn(serve(Arc::clone(&engine), listener));
     let groups = [Arc::from(GROUP), Arc::from("unknown")];
-    let beliefs = TcpPeers.ask(address, &groups).await.expect("an answer");
+    let beliefs = TcpPeers
+        .query_groups(address, &groups)
+        .await
+        .expect("an answer");
     assert_eq!(beliefs.len(), 1);
     assert_eq!((&*beliefs[0].group, beliefs[0].epoch), (GROUP, 0));
     let leader = beliefs[0].leader.as_ref().expect("a leader");
@@ -101,14 +104,14 @@
         directory: 0,
         evacuations: 0,
     };
-    let state = TcpPeers.ask_declared(address, nothing).await;
+    let state = TcpPeers.query_declared(address, nothing).await;
     let state = state.expect("an answer");
     let expected = engine.configuration().expect("one");
     let whole = DeclaredConfiguration::Whole(expected.as_ref().clone());
     assert_eq!(state.configuration, Some(whole));
     assert_eq!(state.directory.expect("members").members.len(), 3);
     let all = declared::known_versions(&engine);
-    let state = TcpPeers.ask_declared(address, all).await;
+    let state = TcpPeers.query_declared(address, all).await;
     assert!(state.expect("an answer").configuration.is_none());
     // What makes no sense gets no answer, and the next question does.
     let stream = TcpStream::connect(address).await.expect("connected");
@@ -118,7 +121,7 @@
         .await
         .expect("sent");
     assert!(frames.next().await.is_none());
-    assert!(TcpPeers.ask(address, &groups).await.is_ok());
+    assert!(TcpPeers.query_groups(address, &groups).await.is_ok());
 }
 
 fn change_of_leader(phase: TermPhase) -> TermRecord {
@@ -154,7 +157,7 @@
     let promoting = change_of_leader(TermPhase::Promoting);
     groups[1].apply_record(&promoting, None, now);
     let before = (groups[1].view(), groups[1].evidence());
-    ask(&fleet.nodes[1].engine, &[Arc::from(GROUP)]).await;
+    query(&fleet.nodes[1].engine, &[Arc::from(GROUP)]).await;
     assert_eq!((groups[1].view(), groups[1].evidence()), before);
     assert!(!before.0.confirmed);
 }
@@ -172,7 +175,7 @@
     assert!(knowing.set_configuration(newer.clone()));
     let now = Instant::now();
     let leaving = Departure {
-        learned: now,
+        learned_at: now,
         earliest: now.checked_sub(Duration::from_millis(700)),
         lapsed_until: None,
     };
@@ -181,8 +184,8 @@
     let known = || cut.directory().member("c").map(|member| member.state);
     let entries = fleet.world.entries();
     let version = cut.directory().version + 1_000_000;
-    knowing.set_directory(knowing.directory().replaced(version, entries, leaving));
-    declared::ask(cut).await;
+    knowing.set_directory(knowing.directory().with_entries(version, entries, leaving));
+    declared::query(cut).await;
     assert_eq!(cut.configuration().as_deref(), Some(&newer));
     assert_eq!(cut.directory().version, version);
     let Some(MemberState::Leaving(told)) = known() else {
@@ -191,7 +194,7 @@
     assert!(told.earliest <= leaving.earliest && told.earliest.is_some());
     // Asked the other way round, nothing older is taken.
     let before = knowing.directory().version;
-    declared::ask(knowing).await;
+    declared::query(knowing).await;
     assert_eq!(knowing.directory().version, before);
 }
 
@@ -219,16 +222,16 @@
     let version = known.directory + 1_000_000;
     let next = engine
         .directory()
-        .replaced(version, entries, Departure::at(now));
+        .with_entries(version, entries, Departure::at(now));
     engine.set_directory(next);
     let told = declared::newer(engine, known, Instant::now());
     let Some(DeclaredConfiguration::Changes(changes)) = told.configuration else {
         panic!("{:?}", told.configuration);
     };
     assert_eq!((changes.routes.len(), changes.removed_routes.len()), (1, 1));
-    assert_eq!(first.with(changes.clone()), Some(later.clone()));
+    assert_eq!(first.apply(changes.clone()), Some(later.clone()));
     // They are of no use to who knows another version.
-    assert_eq!(later.with(changes), None);
+    assert_eq!(later.apply(changes), None);
     let directory = told.directory.expect("members");
     assert_eq!(directory.extent, DeclaredExtent::Changes);
     let names = directory.members.iter().map(|member| &*member.id);
@@ -246,7 +249,7 @@
     ));
     assert_eq!(told.directory.expect("members").members.len(), 3);
     let gone = engine.directory();
-    let gone = gone.updated(
+    let gone = gone.with_changes(
         version + 1,
         vec![DirectoryChange::Gone {
             id: Arc::from("c"),
@@ -254,10 +257,10 @@
         }],
         Departure::at(now),
     );
-    sleep(GONE_MEMORY * 2).await;
-    let forgotten = gone.updated(version + 2, Vec::new(), Departure::at(Instant::now()));
-    assert!(forgotten.changed_after(known.directory).is_none());
-    assert!(forgotten.changed_after(version + 1).is_some());
+    sleep(GONE_RETENTION * 2).await;
+    let forgotten = gone.with_changes(version + 2, Vec::new(), Departure::at(Instant::now()));
+    assert!(forgotten.changes_since(known.directory).is_none());
+    assert!(forgotten.changes_since(version + 1).is_some());
 }
 
 /// The store's version rises with every write in it. Who has read all entries anew tells
@@ -270,22 +273,22 @@
         let entries = fleet.world.entries().into_iter();
         entries.map(|member| Member { changed, ..member }).collect()
     };
-    let followed = Directory::default().replaced(40, entries(40), now);
-    let read_anew = Directory::default().replaced(900, entries(40), now);
+    let followed = Directory::default().with_entries(40, entries(40), now);
+    let read_anew = Directory::default().with_entries(900, entries(40), now);
     assert_eq!((followed.version, read_anew.version), (40, 40));
-    let later = read_anew.replaced(950, entries(40), now);
+    let later = read_anew.with_entries(950, entries(40), now);
     assert_eq!(later.version, 40);
     // What is missing is a change, as of the reading.
     let [first, rest @ ..] = &entries(40)[..] else {
         panic!("no entries");
     };
-    let without = later.replaced(960, rest.to_vec(), now);
+    let without = later.with_entries(960, rest.to_vec(), now);
     assert_eq!(without.version, 960);
-    let changed = without.changed_after(40).expect("all changes");
+    let changed = without.changes_since(40).expect("all changes");
     let changed: Vec<&str> = changed.map(|member| &*member.id).collect();
     assert_eq!(changed, [&*first.id]);
     // And so is an entry that differs, whatever version it tells.
     let mut slower = entries(40);
     slower[1].slots = 1;
-    assert_eq!(later.replaced(970, slower, now).version, 970);
+    assert_eq!(later.with_entries(970, slower, now).version, 970);
 }
--- a/crates/engine/tests/support/peers.rs
+++ b/crates/engine/tests/support/peers.rs
@@ -11,10 +11,10 @@
 use stilequay_engine::engine::Engine;
 use stilequay_engine::link::frame::{FromHome, ToHome, decode};
 use stilequay_engine::names::GroupName;
-use stilequay_engine::peers::beliefs;
 use stilequay_engine::peers::declared::newer;
+use stilequay_engine::peers::group_snapshots;
 use stilequay_engine::ports::{
-    DeclaredState, DeclaredVersions, GroupBelief, PeerError, PeerLink, PeerNetwork,
+    DeclaredState, DeclaredVersions, GroupSnapshot, PeerError, PeerLink, PeerNetwork,
 };
 use stilequay_engine::serving;
 use tokio::sync::{mpsc, watch};
@@ -226,18 +226,18 @@
 
 #[async_trait]
 impl PeerNetwork for NodePeers {
-    async fn ask(
+    async fn query_groups(
         &self,
         peer: SocketAddr,
         groups: &[GroupName],
-    ) -> Result<Vec<GroupBelief>, PeerError> {
+    ) -> Result<Vec<GroupSnapshot>, PeerError> {
         let engine = self.peers.reach(peer).await?;
-        let answer = beliefs(&engine, groups);
+        let answer = group_snapshots(&engine, groups);
         sleep(ONE_WAY).await;
         Ok(answer)
     }
 
-    async fn ask_declared(
+    async fn query_declared(
         &self,
         peer: SocketAddr,
         known: DeclaredVersions,
@@ -248,7 +248,7 @@
         Ok(answer)
     }
 
-    async fn link(&self, peer: SocketAddr) -> Result<PeerLink, PeerError> {
+    async fn open_link(&self, peer: SocketAddr) -> Result<PeerLink, PeerError> {
         let engine = self.peers.reach(peer).await?;
         let there = engine.settings().node.to_string();
         if !self.peers.world.network.reaches(&self.node, &there) {
