--- a/crates/engine/src/home/mod.rs
+++ b/crates/engine/src/home/mod.rs
@@ -39,19 +39,19 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// Timeout for requesting what a home knows about a group.
-const ASK_TIMEOUT: Duration = Duration::from_millis(80);
+/// Timeout of a query for a group's state.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// Requests evidence of the term of `group` from a home of its leader, which collects evidence
 /// from the commits of the whole fleet. Returns whether a home has replied. Homes themselves, and
 /// processes of a small fleet, send no request.
 pub async fn ask_for_evidence(engine: &Engine, group: &Group) -> bool {
-    ask(engine, group, RequiredFreshness::Evidence).await
+    query_home(engine, group, RequiredFreshness::Evidence).await
 }
 
 /// Like [`ask_for_evidence`], but requests a replication position as of a recent time.
 pub async fn ask_for_position(engine: &Engine, group: &Group) -> bool {
-    ask(engine, group, RequiredFreshness::Position).await
+    query_home(engine, group, RequiredFreshness::Position).await
 }
 
 /// Requests the evidence of `group` from its evidence reader, the process that reads it from the
@@ -62,7 +62,7 @@
     let Some(block) = placement::block_of(directory.group_names(), group.name()) else {
         return false;
     };
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let region = most_common_region(engine, block.groups);
     let reader = engine
         .homes()
@@ -70,9 +70,9 @@
     let Some(link) = reader.await else {
         return false;
     };
-    let beliefs = link.query_group(group.name(), RequiredFreshness::StoreEvidence);
-    if let Ok(Some(beliefs)) = timeout(ASK_TIMEOUT, beliefs).await {
-        apply_beliefs(engine, beliefs, asked);
+    let snapshots = link.query_group(group.name(), RequiredFreshness::StoreEvidence);
+    if let Ok(Some(snapshots)) = timeout(QUERY_TIMEOUT, snapshots).await {
+        apply_snapshots(engine, snapshots, requested_at);
     }
     let leader = group.leased_leader(Instant::now(), Duration::ZERO);
     match leader {
@@ -102,30 +102,30 @@
     most.map(|(region, _)| region.clone())
 }
 
-async fn ask(engine: &Engine, group: &Group, wanted: RequiredFreshness) -> bool {
+async fn query_home(engine: &Engine, group: &Group, freshness: RequiredFreshness) -> bool {
     let leader = group.view().leader;
     let directory = engine.directory();
     let member = leader.and_then(|leader| directory.member(&leader).cloned());
     let Some(member) = member.filter(|member| !engine.connects_directly(member)) else {
         return false;
     };
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     // The request contains no caller data, so residency rules don't restrict it.
     let anywhere = &Residency::ANYWHERE;
-    let answered = timeout(ASK_TIMEOUT, async {
+    let answered = timeout(QUERY_TIMEOUT, async {
         let link = engine.homes().choose_link(&member, None, anywhere).await?;
-        link.get().query_group(group.name(), wanted).await
+        link.get().query_group(group.name(), freshness).await
     });
-    let Ok(Some(beliefs)) = answered.await else {
+    let Ok(Some(snapshots)) = answered.await else {
         return false;
     };
-    apply_beliefs(engine, beliefs, asked);
+    apply_snapshots(engine, snapshots, requested_at);
     true
 }
 
-fn apply_beliefs(engine: &Engine, beliefs: Vec<GroupSnapshot>, asked: Instant) {
+fn apply_snapshots(engine: &Engine, snapshots: Vec<GroupSnapshot>, requested_at: Instant) {
     metrics::counter!("stilequay_peer_answers_total").increment(1);
-    beliefs
+    snapshots
         .into_iter()
-        .for_each(|belief| peers::apply(engine, belief, asked));
+        .for_each(|snapshot| peers::apply(engine, snapshot, requested_at));
 }
--- a/crates/engine/src/home/placement.rs
+++ b/crates/engine/src/home/placement.rs
@@ -294,9 +294,9 @@
         followers.collect()
     }
 
-    /// Returns all processes in the order in which they take on fleet-wide duties. Followers come
-    /// first, since they receive the store's state first. The first of them read the store
-    /// directly.
+    /// Returns all processes in the order in which they try to acquire the promotion lease.
+    /// Followers come first, since they receive the store's state first. The first of them read the
+    /// store directly.
     fn lease_order(&mut self) -> Arc<[Peer]> {
         if let Some(known) = &self.lease_order {
             return Arc::clone(known);
@@ -419,9 +419,9 @@
         StoreSource::Peers(addresses)
     }
 
-    /// Returns this process's rank, starting at zero, in the order in which processes take on
-    /// fleet-wide duties. The order is the same in every process; those that receive the store's
-    /// state first come first. `None` if this process is not part of the known fleet yet.
+    /// Returns this process's rank, starting at zero, in the order in which processes try to
+    /// acquire the promotion lease. The order is the same in every process; those that receive the
+    /// store's state first come first. `None` if this process is not part of the known fleet yet.
     pub fn lease_rank(&self) -> Option<usize> {
         let order = self.lock().lease_order();
         order.iter().position(|peer| peer.node == self.own)
--- a/crates/engine/src/rate/shard_lease.rs
+++ b/crates/engine/src/rate/shard_lease.rs
@@ -47,7 +47,7 @@
 /// Minimum interval between two checks whether a suspected counter responds.
 const SUSPECT_INTERVAL: Duration = Duration::from_millis(700);
 /// Delay per rank, so that candidates try to acquire the lease one after another.
-const CANDIDATE_STAGGER: Duration = Duration::from_millis(150);
+const RANK_DELAY: Duration = Duration::from_millis(150);
 /// Pause after a failed renewal. It causes up to two calls a second per counter while the store is
 /// unavailable, and leaves time for many attempts before the lease expires.
 const RENEWAL_RETRY_PAUSE: Duration = Duration::from_millis(300);
@@ -134,9 +134,8 @@
     /// step.
     async fn step(&mut self, engine: &Arc<Engine>, rank: usize) -> Duration {
         if let Some(record) = engine.counters().take_announced(self.shard) {
-            let stagger =
-                CANDIDATE_STAGGER * u32::try_from(rank.saturating_sub(1)).unwrap_or(u32::MAX);
-            self.earliest_free_at = Instant::now() + self.candidate.observe(&record) + stagger;
+            let delay = RANK_DELAY * u32::try_from(rank.saturating_sub(1)).unwrap_or(u32::MAX);
+            self.earliest_free_at = Instant::now() + self.candidate.observe(&record) + delay;
             self.announced = Some(record);
             self.overdue_at = Instant::now() + OVERDUE_AFTER;
         }
