--- a/crates/engine/src/leadership/access.rs
+++ b/crates/engine/src/leadership/access.rs
@@ -106,8 +106,8 @@
     is_changing && timeout(CHANGE_WAIT, changes.changed()).await.is_ok()
 }
 
-/// Renews the group's evidence from its keeper, or else from the lease holder, the store or other
-/// processes, in this order.
+/// Renews the group's evidence from the process that reads it for others, or else from the lease
+/// holder, the store or other processes, in this order.
 pub async fn renew_evidence(engine: &Engine, group: &Group) {
     if home::ask_evidence_reader(engine, group).await {
         return;
--- a/crates/engine/src/leadership/follower.rs
+++ b/crates/engine/src/leadership/follower.rs
@@ -110,7 +110,7 @@
         let begun = Instant::now();
         let records = self.records.read_between(&first, &last).await?;
         self.apply(engine, &records, Some(begun));
-        self.apply_first_leaders(engine, groups, begun);
+        self.apply_initial_leaders(engine, groups, begun);
         Ok(())
     }
 
@@ -128,7 +128,7 @@
                 }
             }
         }
-        self.apply_first_leaders(engine, groups, begun);
+        self.apply_initial_leaders(engine, groups, begun);
     }
 
     /// Reads all term records.
@@ -222,7 +222,7 @@
                     if is_full_read {
                         self.drop_lost(era_of(changes.version));
                         let groups = engine.directory().groups();
-                        self.apply_first_leaders(engine, &groups, begun);
+                        self.apply_initial_leaders(engine, &groups, begun);
                     }
                     version = Some(changes.version);
                     self.advance_version(changes.version);
@@ -389,7 +389,7 @@
                     let record = resolve_acting_leader(&directory, term.record);
                     group.apply_record(&record, None, Instant::now())
                 }
-                None => group.apply_initial_leader(first_leader(&directory, &name), None),
+                None => group.apply_initial_leader(initial_leader(&directory, &name), None),
             };
             if changed {
                 emit_leader_changed(engine, &group);
@@ -444,11 +444,11 @@
 
     /// Applies the leaders of groups without a record. Nobody was ever promoted there, so the
     /// member whose entry says that it is primary leads.
-    fn apply_first_leaders(&self, engine: &Engine, groups: &[GroupName], begun: Instant) {
+    fn apply_initial_leaders(&self, engine: &Engine, groups: &[GroupName], begun: Instant) {
         let directory = engine.directory();
         for name in groups {
             if self.known(name).is_none() {
-                let leader = first_leader(&directory, name);
+                let leader = initial_leader(&directory, name);
                 engine.group(name).apply_initial_leader(leader, Some(begun));
             }
         }
@@ -507,7 +507,7 @@
 }
 
 /// The only member of `group` whose entry says that it is primary, if there is exactly one.
-fn first_leader(directory: &Directory, group: &str) -> Option<MemberId> {
+fn initial_leader(directory: &Directory, group: &str) -> Option<MemberId> {
     let members = directory.members_of(group);
     let mut leaders = members
         .iter()
--- a/crates/engine/src/leadership/freshness.rs
+++ b/crates/engine/src/leadership/freshness.rs
@@ -78,7 +78,7 @@
     let mut members = survey::survey_members(engine, asked, |_| Control::Status, stragglers).await;
     members.extend(held_back.into_iter().map(|member| SurveyedMember {
         member,
-        response: Response::Silent("sending is not allowed".to_owned()),
+        response: Response::Silent("not asked any more".to_owned()),
     }));
     let reports = members.iter().filter_map(|m| m.response.report());
     let silent = members.iter().filter(|member| {
--- a/crates/engine/src/leadership/mod.rs
+++ b/crates/engine/src/leadership/mod.rs
@@ -39,16 +39,16 @@
 use tokio::time::{Instant, sleep};
 
 /// Interval between checks for lapsed directory entries.
-const LAPSE_INTERVAL: Duration = Duration::from_millis(100);
+const LAPSE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause between store reads while the leader of a group that was never promoted is unknown.
-const FIRST_LEADER_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_LEADER_PAUSE: Duration = Duration::from_millis(100);
 
 /// Runs all leadership tasks of this process until it ends.
 pub async fn run(engine: Arc<Engine>, promoter: Arc<dyn Promoter>) {
     let lease = Arc::clone(engine.promotion_lease());
     tokio::join!(
         engine.terms().follow(&engine),
-        learn_first_leaders(&engine),
+        discover_initial_leaders(&engine),
         lease.run(&engine),
         watcher::watch(&engine, &promoter, &lease),
         fleet::register(&engine),
@@ -59,7 +59,7 @@
         term_confirmation::maintain(&engine),
         following::follow(&engine, &lease),
         follow_directory(&engine),
-        end_lapses(&engine),
+        expire_lapsed_members(&engine),
         rate::run(&engine),
         evacuation::close_evacuated_zones(&engine),
         slow_start::allot::run(&engine),
@@ -67,9 +67,9 @@
 }
 
 /// Periodically marks members as gone whose lapsed entries have not returned in time.
-async fn end_lapses(engine: &Engine) {
+async fn expire_lapsed_members(engine: &Engine) {
     loop {
-        sleep(LAPSE_INTERVAL).await;
+        sleep(LAPSE_CHECK_INTERVAL).await;
         engine.expire_lapsed_members();
     }
 }
@@ -83,7 +83,7 @@
 }
 
 /// Rereads the records while the directory lists a group whose leader is unknown.
-async fn learn_first_leaders(engine: &Engine) {
+async fn discover_initial_leaders(engine: &Engine) {
     let mut directory = engine.subscribe_directory();
     let mut configuration = engine.subscribe_configuration();
     loop {
@@ -92,7 +92,7 @@
         {
             // The task that follows the records reports failures.
             let _ = engine.terms().refresh(engine, &group, Instant::now()).await;
-            sleep(FIRST_LEADER_PAUSE).await;
+            sleep(INITIAL_LEADER_PAUSE).await;
         }
         // The senders live as long as the engine, so `changed` can't fail.
         tokio::select! {
--- a/crates/engine/src/leadership/step_events.rs
+++ b/crates/engine/src/leadership/step_events.rs
@@ -31,7 +31,7 @@
             Response::Report(_) => String::new(),
             Response::Down(reason) => format!("down: {reason}"),
             Response::Declined(reason) => format!("declined: {reason}"),
-            Response::RestartedEmpty => "restarted without its log".to_owned(),
+            Response::RestartedEmpty => "started again".to_owned(),
             Response::Silent(reason) => format!("silent: {reason}"),
         };
         let report = response.report().copied();
--- a/crates/engine/src/leadership/survey.rs
+++ b/crates/engine/src/leadership/survey.rs
@@ -84,7 +84,7 @@
             Response::Report(report)
         }
         Ok(Err(error)) => response_to_error(&error),
-        Err(_) => Response::Silent("timed out".to_owned()),
+        Err(_) => Response::Silent("no answer in time".to_owned()),
     }
 }
 
@@ -153,7 +153,7 @@
     let silent: Vec<SurveyedMember> = silent
         .map(|member| SurveyedMember {
             member,
-            response: Response::Silent("skipped as a straggler".to_owned()),
+            response: Response::Silent("not waited for".to_owned()),
         })
         .collect();
     surveyed.extend(silent);
--- a/crates/engine/src/leadership/suspicion.rs
+++ b/crates/engine/src/leadership/suspicion.rs
@@ -210,7 +210,7 @@
 
 async fn request_status(engine: &Engine, leader: &Arc<Member>) -> Response {
     let status = survey::send_control(engine, leader, Control::Status);
-    let silent = || Response::Silent("timed out".to_owned());
+    let silent = || Response::Silent("no answer in time".to_owned());
     timeout(STATUS_TIMEOUT, status)
         .await
         .unwrap_or_else(|_| silent())
