--- a/crates/engine/src/session/read.rs
+++ b/crates/engine/src/session/read.rs
@@ -231,7 +231,12 @@
                     }
                     needs_connection = true;
                 }
-                acquired = acquire_first(&self.engine, &targets, &job.acquire_request, job.deadlines.acquire),
+                acquired = acquire_first(
+                    &self.engine,
+                    &targets,
+                    &job.acquire_request,
+                    job.deadlines.acquire,
+                ),
                     if needs_connection && !targets.is_empty() => match acquired {
                         Ok(AcquiredConnection { index, connection }) => {
                             let target = targets.remove(index);
