--- a/crates/engine/src/slow_start/allotment.rs
+++ b/crates/engine/src/slow_start/allotment.rs
@@ -12,7 +12,7 @@
 const CANDIDATE_WEIGHTS: [usize; 4] = [4, 4, 1, 1];
 /// One in this many statements is reserved for control commands and status reports, which are
 /// never delayed: a survey queries each member a few times during a change of leader.
-const CONTROL_FRACTION: usize = 10;
+const CONTROL_RESERVE_DIVISOR: usize = 10;
 
 /// Statements per window, by process. A process that is not listed has no share.
 pub type Shares = BTreeMap<NodeName, usize>;
@@ -117,6 +117,6 @@
 fn control_reserve(most: usize) -> usize {
     match most {
         0 | 1 => 0,
-        most => most.div_ceil(CONTROL_FRACTION),
+        most => most.div_ceil(CONTROL_RESERVE_DIVISOR),
     }
 }
