--- a/crates/engine/src/pool/error.rs
+++ b/crates/engine/src/pool/error.rs
@@ -16,11 +16,11 @@
         /// The request was shed: requests already wait so long that any further one would miss
         /// its deadline.
         Shed(retry_after: Duration) {
-            display("too many requests are waiting; retry after {} ms", retry_after.as_millis())
+            display("too many requests wait; to come back after {} ms", retry_after.as_millis())
         }
         /// The member is in slow start and its statement limit is used up for now.
         SlowStart(retry_after: Duration) {
-            display("the member is in slow start; retry after {} ms", retry_after.as_millis())
+            display("the member is cold; to come back after {} ms", retry_after.as_millis())
         }
         /// The member cannot be reached.
         Unreachable(reason: String) {
