--- a/crates/engine/src/following/search.rs
+++ b/crates/engine/src/following/search.rs
@@ -34,23 +34,23 @@
     pub enum NoUpdates {
         /// No source could be reached.
         Unreachable {
-            display("no source of updates is reachable")
+            display("no process that follows the store is reached")
         }
         /// The peer did not answer in time.
         Silent {
-            display("the peer did not answer in time")
+            display("no news in time")
         }
         /// The peer has just started and is still loading its state.
         Starting {
-            display("the peer is still starting")
+            display("who was asked is starting")
         }
         /// The peer got no recent answer from the store.
         StoreFailing {
-            display("the peer gets no answers from the store")
+            display("who was asked is turned away by the store")
         }
         /// The peer's data was this old when the request was sent.
         Old(age: Duration) {
-            display("the peer's data was {age:?} old when it was requested")
+            display("what was told was {age:?} old when it was asked for")
         }
     }
 }
@@ -130,7 +130,7 @@
             None => ask_many(engine, with_scouts).await,
         };
         let fresh_peer = self.fresh_peer.as_ref().map(|(_, step)| *step);
-        let step = fresh_peer.ok_or("found no process with recent updates")?;
+        let step = fresh_peer.ok_or("no process was found that knows something recent")?;
         if step == Step::Elsewhere {
             self.store_due = None;
         }
--- a/crates/engine/src/ports/promoter.rs
+++ b/crates/engine/src/ports/promoter.rs
@@ -25,11 +25,11 @@
     pub enum PromoteError {
         /// The target is not running.
         TargetDown {
-            display("the target is not running")
+            display("the target does not run")
         }
         /// A later lease holder has given orders.
         Fenced {
-            display("fenced off by a later lease holder")
+            display("fenced off by a later holder")
         }
         /// Temporarily refused; the order had no effect.
         Unavailable(reason: String) {
--- a/crates/engine/src/ports/record_store.rs
+++ b/crates/engine/src/ports/record_store.rs
@@ -67,7 +67,7 @@
         }
         /// The store no longer has changes that old; everything has to be read again.
         HistoryGone {
-            display("the requested history is no longer available")
+            display("the history asked for is forgotten")
         }
     }
 }
