--- a/crates/engine/src/home/mod.rs
+++ b/crates/engine/src/home/mod.rs
@@ -70,9 +70,9 @@
     let Some(link) = reader.await else {
         return false;
     };
-    let beliefs = link.query_group(group.name(), RequiredFreshness::StoreEvidence);
-    if let Ok(Some(beliefs)) = timeout(ASK_TIMEOUT, beliefs).await {
-        apply_beliefs(engine, beliefs, asked);
+    let snapshots = link.query_group(group.name(), RequiredFreshness::StoreEvidence);
+    if let Ok(Some(snapshots)) = timeout(ASK_TIMEOUT, snapshots).await {
+        apply_group_snapshots(engine, snapshots, asked);
     }
     let leader = group.leased_leader(Instant::now(), Duration::ZERO);
     match leader {
@@ -116,16 +116,16 @@
         let link = engine.homes().choose_link(&member, None, anywhere).await?;
         link.get().query_group(group.name(), wanted).await
     });
-    let Ok(Some(beliefs)) = answered.await else {
+    let Ok(Some(snapshots)) = answered.await else {
         return false;
     };
-    apply_beliefs(engine, beliefs, asked);
+    apply_group_snapshots(engine, snapshots, asked);
     true
 }
 
-fn apply_beliefs(engine: &Engine, beliefs: Vec<GroupSnapshot>, asked: Instant) {
+fn apply_group_snapshots(engine: &Engine, snapshots: Vec<GroupSnapshot>, asked: Instant) {
     metrics::counter!("stilequay_peer_answers_total").increment(1);
-    beliefs
+    snapshots
         .into_iter()
-        .for_each(|belief| peers::apply(engine, belief, asked));
+        .for_each(|snapshot| peers::apply(engine, snapshot, asked));
 }
--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -94,7 +94,7 @@
             }) => {
                 let task = task.clone();
                 tokio::spawn(async move {
-                    let beliefs = task.group_beliefs(group, wanted).await;
+                    let beliefs = task.group_snapshots(group, wanted).await;
                     task.send(&FromHome::Beliefs { exchange, beliefs }).await;
                 });
             }
@@ -239,7 +239,7 @@
     }
 
     /// What this process believes of `group`, after a look at what is wanted.
-    async fn group_beliefs(
+    async fn group_snapshots(
         &self,
         group: GroupName,
         wanted: RequiredFreshness,
--- a/crates/engine/tests/peers.rs
+++ b/crates/engine/tests/peers.rs
@@ -90,13 +90,13 @@
     let address = listener.local_addr().expect("an address");
     tokio::spawn(serve(Arc::clone(&engine), listener));
     let groups = [Arc::from(GROUP), Arc::from("unknown")];
-    let beliefs = TcpPeers
+    let snapshots = TcpPeers
         .query_groups(address, &groups)
         .await
         .expect("an answer");
-    assert_eq!(beliefs.len(), 1);
-    assert_eq!((&*beliefs[0].group, beliefs[0].epoch), (GROUP, 0));
-    let leader = beliefs[0].leader.as_ref().expect("a leader");
+    assert_eq!(snapshots.len(), 1);
+    assert_eq!((&*snapshots[0].group, snapshots[0].epoch), (GROUP, 0));
+    let leader = snapshots[0].leader.as_ref().expect("a leader");
     assert!(leader.confirmed);
     assert!(leader.evidence_age_ms.is_some());
     let nothing = DeclaredVersions {
