--- a/crates/engine/src/directory.rs
+++ b/crates/engine/src/directory.rs
@@ -1,4 +1,5 @@
-//! Directory of members: the known servers and the version as of which they are known.
+//! Directory of members, built from the entries in the store. Each server keeps an entry of itself
+//! there, which expires unless it is renewed.
 
 use crate::names::{GroupName, MemberId, ZoneName, are_incarnations_of_same_server};
 use crate::version::{StoreVersion, era_of};
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -2,7 +2,7 @@
 
 use crate::configuration::{Configuration, Route};
 use crate::directory::{Directory, Member};
-use crate::evacuation::{Evacuations, Gate, Schedule, Sender};
+use crate::evacuation::{EvacuationGate, Evacuations, Schedule, Sender};
 use crate::events::{Event, EventLog};
 use crate::following::{self, Following};
 use crate::group::Group;
@@ -317,9 +317,9 @@
     }
 
     /// Creates the check that runs before each command to `member`.
-    fn gate(&self, member: &Member, sender: Sender) -> Gate {
+    fn gate(&self, member: &Member, sender: Sender) -> EvacuationGate {
         let schedule = Arc::clone(&self.evacuation_schedule);
-        Gate::new(schedule, member.zone.clone(), sender)
+        EvacuationGate::new(schedule, member.zone.clone(), sender)
     }
 
     /// The current member directory.
--- a/crates/engine/src/evacuation/gate.rs
+++ b/crates/engine/src/evacuation/gate.rs
@@ -5,9 +5,10 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Decides whether commands may be sent to one member. The default gate is always open.
+/// Decides whether commands may be sent to one member, given the evacuation of its zone. The
+/// default gate is always open.
 #[derive(Debug, Clone, Default)]
-pub struct Gate {
+pub struct EvacuationGate {
     gated: Option<GatedZone>,
 }
 
@@ -18,7 +19,7 @@
     sender: Sender,
 }
 
-impl Gate {
+impl EvacuationGate {
     /// Creates the gate for members of `zone` and commands from `sender`.
     pub fn new(schedule: Arc<Schedule>, zone: ZoneName, sender: Sender) -> Self {
         let gated = GatedZone {
--- a/crates/engine/src/evacuation/mod.rs
+++ b/crates/engine/src/evacuation/mod.rs
@@ -1,14 +1,14 @@
 //! Evacuation of zones: on an operator's request, the zone's servers receive no more work.
 //!
 //! Each process maintains a [`Schedule`] with the time from which it sends nothing more to each
-//! evacuated zone, and checks it at a [`Gate`] directly before each command.
+//! evacuated zone, and checks it at a [`EvacuationGate`] directly before each command.
 
 mod connection_closer;
 mod gate;
 mod schedule;
 
 pub(crate) use connection_closer::close_evacuated_zones;
-pub use gate::Gate;
+pub use gate::EvacuationGate;
 pub use schedule::{MayNotSend, Schedule, Sender, ramp_share};
 
 use crate::names::ZoneName;
--- a/crates/engine/src/group/mod.rs
+++ b/crates/engine/src/group/mod.rs
@@ -27,8 +27,8 @@
 use tokio::sync::{Mutex as AsyncMutex, watch};
 use tokio::time::Instant;
 
-/// How long evidence for a leader's term is valid. A promotion waits at least this long after
-/// fencing before the new leader is used.
+/// How long evidence for a leader's term is valid; during that time the leader is leased. A
+/// promotion waits at least this long after fencing before the new leader is used.
 pub const TERM_LEASE: Duration = Duration::from_millis(400);
 /// Added to [`TERM_LEASE`] by the waiting side, to allow for clocks running at different rates.
 pub const TERM_LEASE_MARGIN: Duration = Duration::from_millis(25);
--- a/crates/engine/src/leadership/freshness.rs
+++ b/crates/engine/src/leadership/freshness.rs
@@ -83,8 +83,8 @@
     let reports = members.iter().filter_map(|m| m.response.report());
     let silent = members.iter().filter(|member| {
         let answered = member.response.report().is_some();
-        // A server that restarted without its log may have held commits, however long ago that
-        // was, and nobody knows how many: it still counts as silent.
+        // A server that restarted without its log may have held an unknown number of commits,
+        // however long ago that was: it still counts as silent.
         let has_left = member.has_left(sent) && member.response != Response::RestartedEmpty;
         !answered && !has_left && !is_replaced(member, &members)
     });
--- a/crates/engine/src/leadership/record.rs
+++ b/crates/engine/src/leadership/record.rs
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// [`RecordError::Malformed`] if it is anything else.
+    /// [`RecordError::Malformed`] if `value` doesn't encode a term record.
     pub fn decode(value: &[u8]) -> Result<Self, RecordError> {
         Ok(rmp_serde::from_slice(value)?)
     }
--- a/crates/engine/src/leadership/term_confirmation.rs
+++ b/crates/engine/src/leadership/term_confirmation.rs
@@ -1,7 +1,7 @@
 //! Confirms leadership terms without reading the store.
 //!
-//! Only the holder of the promotion lease changes leaders, so it can confirm that no leader was
-//! changed by anybody else. One number suffices for all groups: the version of the newest term
+//! Only the holder of the promotion lease changes leaders, so it can confirm that no other process
+//! has changed one. One number suffices for all groups: the version of the newest term
 //! record. A process that knows the records up to that version knows all leaders as of the moment
 //! at which it asked. Confirming them by reading the records would take a number of store calls
 //! that grows with the number of groups.
--- a/crates/engine/src/pool/connection.rs
+++ b/crates/engine/src/pool/connection.rs
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Waits until the slow start limit of the member admits the next statement.
+    /// Waits until the slow-start limit of the member admits the next statement.
     pub(super) async fn pace(&mut self, until: Instant) -> Result<(), Duration> {
         match &mut self.established {
             Some(established) => established.connection.pace(until).await,
--- a/crates/engine/src/pool/member.rs
+++ b/crates/engine/src/pool/member.rs
@@ -8,7 +8,7 @@
 use super::queue::QueueDelay;
 use super::set::{ConnectionSet, Fit};
 use crate::directory::Member;
-use crate::evacuation::{Gate, MayNotSend};
+use crate::evacuation::{EvacuationGate, MayNotSend};
 use crate::names::{DatabaseName, TenantName};
 use crate::ports::{BackEnd, BackEndConnection, ConnectError, Control, MemberReport};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -70,7 +70,7 @@
     member: Arc<Member>,
     back_end: Arc<dyn BackEnd>,
     remote: bool,
-    gate: Gate,
+    gate: EvacuationGate,
     /// Set once the server has restarted: a new connection would reach its next incarnation.
     retired: AtomicBool,
     connections: ConnectionSet<Established, DatabaseName>,
@@ -98,7 +98,7 @@
             member,
             back_end,
             remote,
-            gate: Gate::default(),
+            gate: EvacuationGate::default(),
             retired: AtomicBool::new(false),
             connections: ConnectionSet::new(LimiterSettings {
                 slots: limit,
@@ -117,7 +117,7 @@
     }
 
     /// Makes all sending subject to `gate`.
-    pub fn with_gate(self, gate: Gate) -> Self {
+    pub fn with_gate(self, gate: EvacuationGate) -> Self {
         Self { gate, ..self }
     }
 
@@ -130,7 +130,7 @@
         self.gate.check(Instant::now())
     }
 
-    pub(super) fn gate(&self) -> &Gate {
+    pub(super) fn gate(&self) -> &EvacuationGate {
         &self.gate
     }
 
@@ -212,7 +212,7 @@
             .await
     }
 
-    /// Same as [`MemberPool::acquire`], but waits only until `paced_until` for the slow start
+    /// Same as [`MemberPool::acquire`], but waits only until `paced_until` for the slow-start
     /// limit of a cold member.
     ///
     /// # Errors
--- a/crates/engine/src/pool/set.rs
+++ b/crates/engine/src/pool/set.rs
@@ -1,8 +1,8 @@
 //! Protocol-independent part of a connection pool: admission, fairness between tenants and the
 //! choice among idle connections.
 //!
-//! The type of the connections, how they are opened and when idle ones are closed is up to the
-//! [pools](crate::pool) of the protocol adapters.
+//! The type of the connections, how they are opened and when idle ones are closed is up to the pool
+//! that uses the set, such as [`MemberPool`](crate::pool::MemberPool).
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
--- a/crates/engine/src/ports/peers.rs
+++ b/crates/engine/src/ports/peers.rs
@@ -62,7 +62,9 @@
     pub version: u64,
 }
 
-/// Versions of the declared state that a process has; zero for state that it doesn't have.
+/// Versions of the declared state that a process has; zero for state that it doesn't have. Declared
+/// is what operators and servers have written: the configuration, the members' directory entries
+/// and the evacuated zones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeclaredVersions {
     /// Version of the configuration.
--- a/crates/engine/src/serving.rs
+++ b/crates/engine/src/serving.rs
@@ -158,7 +158,7 @@
 
 impl LinkTask {
     async fn send(&self, frame: &FromHome) {
-        // The error means that the link is closed, so nobody is left to receive the frame.
+        // Fails only if the link is closed, in which case the frame has no receiver.
         let _ = self.tx.send(encode(frame)).await;
     }
 
--- a/crates/engine/src/slow_start/back_end.rs
+++ b/crates/engine/src/slow_start/back_end.rs
@@ -1,4 +1,4 @@
-//! Enforces the slow start limit where statements leave this process.
+//! Enforces the slow-start limit where statements leave this process.
 //!
 //! All direct connections of this process to members go through [`SlowStartBackEnd`]: those of
 //! its sessions, those it opens as a home on behalf of other processes, those opened because no
