--- a/crates/engine/src/directory.rs
+++ b/crates/engine/src/directory.rs
@@ -161,8 +161,8 @@
     groups: BTreeMap<GroupName, Vec<Arc<Member>>>,
     /// The names of the groups, sorted.
     sorted_groups: Arc<[GroupName]>,
-    /// The newest version of a change that this directory no longer contains, because the member was
-    /// removed. The changes since an older version are not known completely.
+    /// The newest version of a change that this directory no longer contains, because the member
+    /// was removed. The changes since an older version are not known completely.
     forgotten_version: StoreVersion,
 }
 
--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -535,8 +535,8 @@
     }
 }
 
-fn apply_updates(engine: &Engine, updates: StoreUpdates, asked: Instant) {
-    declared::apply(engine, updates.declared, asked);
+fn apply_updates(engine: &Engine, updates: StoreUpdates, requested_at: Instant) {
+    declared::apply(engine, updates.declared, requested_at);
     if updates.records_version > engine.terms().version() {
         let changes = RecordChanges {
             written: updates.records,
@@ -572,8 +572,8 @@
     let mut evacuations = engine.subscribe_evacuations();
     let mut records = engine.terms().subscribe_version();
     let mut completeness = engine.following().is_complete.subscribe();
-    let asked = Instant::now();
-    let until = asked + wait;
+    let arrived_at = Instant::now();
+    let until = arrived_at + wait;
     loop {
         directory.mark_unchanged();
         configuration.mark_unchanged();
@@ -582,7 +582,7 @@
         completeness.mark_unchanged();
         let now = Instant::now();
         if !(is_starting(engine) && now < until) {
-            let updates = collect_updates(engine, known, asked);
+            let updates = collect_updates(engine, known, arrived_at);
             let stale = updates.age.is_none() || !is_recent(engine, now);
             if updates.has_updates(known) || stale || now >= until {
                 return updates;
@@ -599,8 +599,8 @@
     }
 }
 
-/// Collects the updates newer than `known`, for a request that arrived at `asked`.
-fn collect_updates(engine: &Engine, known: FollowedVersions, asked: Instant) -> StoreUpdates {
+/// Collects the updates newer than `known`, for a request received at `arrived_at`.
+fn collect_updates(engine: &Engine, known: FollowedVersions, arrived_at: Instant) -> StoreUpdates {
     // Must be read before the data, which must be at least as new as these claim.
     let (as_of, feeds) = (
         engine.following().current_as_of(),
@@ -615,12 +615,13 @@
     let as_of = as_of.filter(|_| !engine.following().is_failing());
     StoreUpdates {
         is_starting: as_of.is_none() && is_starting(engine),
-        age: as_of.map(|at| Duration::from_millis(millis(asked.saturating_duration_since(at)) + 1)),
+        age: as_of
+            .map(|at| Duration::from_millis(millis(arrived_at.saturating_duration_since(at)) + 1)),
         feeds,
-        declared: declared::newer(engine, known.declared, asked),
+        declared: declared::newer(engine, known.declared, arrived_at),
         records,
         records_version,
-        records_complete_after_ms: records_as_of.map(|at| declared::signed_millis(asked, at)),
+        records_complete_after_ms: records_as_of.map(|at| declared::signed_millis(arrived_at, at)),
     }
 }
 
--- a/crates/engine/src/following/search.rs
+++ b/crates/engine/src/following/search.rs
@@ -101,9 +101,9 @@
         Ok(())
     }
 
-    /// Asks the last process outside the sources that had recent updates. If there is none, or it no
-    /// longer has any, concurrently asks two relays of other zones and, if `with_random_peers` is
-    /// set, a few random processes of the fleet. Returns the step that found recent updates.
+    /// Asks the last process outside the sources that had recent updates. If there is none, or it
+    /// no longer has any, concurrently asks two relays of other zones and, if `with_random_peers`
+    /// is set, a few random processes of the fleet. Returns the step that found recent updates.
     ///
     /// # Errors
     ///
@@ -186,11 +186,11 @@
     let first = links.first_usable(sources).await;
     let first = first.ok_or(NoUpdates::Unreachable)?;
     let wait = update_wait(engine);
-    let mut asked = pin!(ask(engine, &first, wait, step));
-    let mut on_time = timeout(wait + HEDGE_MARGIN, &mut asked).await;
+    let mut first_query = pin!(ask(engine, &first, wait, step));
+    let mut on_time = timeout(wait + HEDGE_MARGIN, &mut first_query).await;
     // Don't hedge while a long answer is being received.
     while on_time.is_err() && first.is_receiving(ANSWER_MARGIN) {
-        on_time = timeout(HEDGE_MARGIN, &mut asked).await;
+        on_time = timeout(HEDGE_MARGIN, &mut first_query).await;
     }
     if let Ok(Ok(())) = on_time {
         return Ok(());
@@ -198,7 +198,7 @@
     let Some(second) = links.first_usable_except(sources, &first).await else {
         return match on_time {
             Ok(learned) => learned,
-            Err(_) => asked.await,
+            Err(_) => first_query.await,
         };
     };
     let mut hedge = pin!(ask(engine, &second, Duration::ZERO, step));
@@ -211,7 +211,7 @@
         });
     }
     tokio::select! {
-        learned = &mut asked => match learned {
+        learned = &mut first_query => match learned {
             Ok(()) => Ok(()),
             Err(_) => hedge.await,
         },
@@ -221,7 +221,7 @@
                 first.ping();
                 Ok(())
             }
-            Err(_) => asked.await,
+            Err(_) => first_query.await,
         },
     }
 }
@@ -234,20 +234,20 @@
 /// Returns the reason why no recent updates were obtained.
 async fn ask(engine: &Engine, link: &Link, wait: Duration, step: Step) -> Result<(), NoUpdates> {
     let known = known_versions(engine);
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let Some(updates) = link.follow(known, wait, ANSWER_MARGIN).await else {
-        link.report_timeout(asked);
+        link.report_timeout(requested_at);
         count(step, "silent");
         return Err(NoUpdates::Silent);
     };
     let (age, versions) = (updates.age, updates.feeds);
     let is_starting = updates.is_starting;
     let records_as_of = updates.records_complete_after_ms;
-    apply_updates(engine, updates, asked);
-    if let Some(at) = records_as_of.and_then(|ms| declared::moment_after(asked, ms)) {
+    apply_updates(engine, updates, requested_at);
+    if let Some(at) = records_as_of.and_then(|ms| declared::moment_after(requested_at, ms)) {
         engine.slow_starts().advance_records_as_of(at);
     }
-    let dated = age.and_then(|age| Some((age, asked.checked_sub(age)?)));
+    let dated = age.and_then(|age| Some((age, requested_at.checked_sub(age)?)));
     let Some((age, at)) = dated else {
         if is_starting {
             count(step, "starting");
--- a/crates/engine/src/group/mod.rs
+++ b/crates/engine/src/group/mod.rs
@@ -261,7 +261,7 @@
     }
 
     /// Records an acknowledged commit that was sent to `leader` at `sent`. It is evidence for the
-    /// term only if `replicated`, that is, if a replica had to receive it before it was acknowledged.
+    /// term only if `replicated`: if a replica had to receive it before it was acknowledged.
     pub fn record_commit(
         &self,
         leader: &UsableLeader,
--- a/crates/engine/src/home/placement.rs
+++ b/crates/engine/src/home/placement.rs
@@ -314,8 +314,8 @@
         order
     }
 
-    /// Returns all followers; the first [`STORE_FOLLOWERS`] watch the store themselves. The second is
-    /// in another zone than the first, if there is one.
+    /// Returns all followers; the first [`STORE_FOLLOWERS`] watch the store themselves. The second
+    /// is in another zone than the first, if there is one.
     fn ranked_followers(&mut self) -> Vec<Peer> {
         let followers = self.all_followers();
         let ranked = top_ranked(followers.iter(), STORE_FOLLOWER_TASK, followers.len());
--- a/crates/engine/src/leadership/follower.rs
+++ b/crates/engine/src/leadership/follower.rs
@@ -107,28 +107,28 @@
         // The block contains the group, so it isn't empty.
         let (first, last) = (&groups[0], &groups[groups.len() - 1]);
         let (first, last) = (TermRecord::key(first), TermRecord::key(last));
-        let begun = Instant::now();
+        let read_started = Instant::now();
         let records = self.records.read_between(&first, &last).await?;
-        self.apply(engine, &records, Some(begun));
-        self.apply_initial_leaders(engine, groups, begun);
+        self.apply(engine, &records, Some(read_started));
+        self.apply_initial_leaders(engine, groups, read_started);
         Ok(())
     }
 
     /// Confirms the known records of `group` and of the other groups of its block as the newest
-    /// ones as of `begun`.
-    pub(super) fn confirm_block(&self, engine: &Engine, group: &Group, begun: Instant) {
+    /// ones at the time `as_of`.
+    pub(super) fn confirm_block(&self, engine: &Engine, group: &Group, as_of: Instant) {
         let directory = engine.directory();
         let groups = groups_in_block(&directory, group);
         for name in groups {
             if let Some(term) = self.known(name) {
                 let record = resolve_acting_leader(&directory, term.record);
                 let group = engine.group(name);
-                if group.apply_record(&record, Some(begun), Instant::now()) {
+                if group.apply_record(&record, Some(as_of), Instant::now()) {
                     emit_leader_changed(engine, &group);
                 }
             }
         }
-        self.apply_initial_leaders(engine, groups, begun);
+        self.apply_initial_leaders(engine, groups, as_of);
     }
 
     /// Reads all term records.
@@ -137,9 +137,9 @@
     ///
     /// [`RecordStoreError`] if the store did not answer.
     pub(super) async fn read_terms(&self, engine: &Engine) -> Result<(), RecordStoreError> {
-        let begun = Instant::now();
+        let read_started = Instant::now();
         let read = self.records.read(TermRecord::KEY_PREFIX).await?;
-        self.apply(engine, &read, Some(begun));
+        self.apply(engine, &read, Some(read_started));
         Ok(())
     }
 
@@ -200,7 +200,7 @@
                 version = engine.following().resume_from(Feed::Records);
                 version = version.filter(|_| self.has_read());
             }
-            let begun = Instant::now();
+            let read_started = Instant::now();
             let result = match version {
                 None => self.records.read("").await,
                 Some(after) => {
@@ -217,16 +217,16 @@
                     failures = 0;
                     dependency.record_outcome(engine.events(), None);
                     let is_full_read = version.is_none();
-                    self.apply(engine, &changes, is_full_read.then_some(begun));
+                    self.apply(engine, &changes, is_full_read.then_some(read_started));
                     self.mark_read();
                     if is_full_read {
                         self.drop_lost(era_of(changes.version));
                         let groups = engine.directory().groups();
-                        self.apply_initial_leaders(engine, &groups, begun);
+                        self.apply_initial_leaders(engine, &groups, read_started);
                     }
                     version = Some(changes.version);
                     self.advance_version(changes.version);
-                    engine.slow_starts().advance_records_as_of(begun);
+                    engine.slow_starts().advance_records_as_of(read_started);
                     let now = Instant::now();
                     engine
                         .following()
@@ -325,14 +325,15 @@
         });
     }
 
-    /// Applies one term record that this process has just written or read.
-    pub fn apply_one(&self, engine: &Engine, term: VersionedTerm, begun: Option<Instant>) {
+    /// Applies one term record that this process has just written or read. `evidence` is the time
+    /// at which that call was started, if the record is known to be the newest.
+    pub fn apply_one(&self, engine: &Engine, term: VersionedTerm, evidence: Option<Instant>) {
         if !self.insert_if_newer(&term) {
             return;
         }
         let group = engine.group(&term.record.group);
         let record = resolve_acting_leader(&engine.directory(), term.record);
-        if group.apply_record(&record, begun, Instant::now()) {
+        if group.apply_record(&record, evidence, Instant::now()) {
             emit_leader_changed(engine, &group);
         }
     }
@@ -397,7 +398,7 @@
         }
     }
 
-    /// Applies records that were read. `evidence` is the time at which the read was begun, if it
+    /// Applies records that were read. `evidence` is the time at which the read was started, if it
     /// returned the newest records. A watch may deliver changes late, so its results are no
     /// evidence.
     fn apply(&self, engine: &Engine, changes: &RecordChanges, evidence: Option<Instant>) {
@@ -431,12 +432,12 @@
         let _ = has_read.wait_for(|read| *read).await;
     }
 
-    fn apply_stored(&self, engine: &Engine, record: &Record, begun: Option<Instant>) {
+    fn apply_stored(&self, engine: &Engine, record: &Record, evidence: Option<Instant>) {
         match TermRecord::decode(&record.value) {
             Ok(term) => {
                 let version = record.version;
                 let record = term;
-                self.apply_one(engine, VersionedTerm { record, version }, begun);
+                self.apply_one(engine, VersionedTerm { record, version }, evidence);
             }
             Err(error) => log::error!("ignoring record {}: {error}", record.key),
         }
@@ -444,12 +445,12 @@
 
     /// Applies the leaders of groups without a record. Nobody was ever promoted there, so the
     /// member whose entry says that it is primary leads.
-    fn apply_initial_leaders(&self, engine: &Engine, groups: &[GroupName], begun: Instant) {
+    fn apply_initial_leaders(&self, engine: &Engine, groups: &[GroupName], as_of: Instant) {
         let directory = engine.directory();
         for name in groups {
             if self.known(name).is_none() {
                 let leader = initial_leader(&directory, name);
-                engine.group(name).apply_initial_leader(leader, Some(begun));
+                engine.group(name).apply_initial_leader(leader, Some(as_of));
             }
         }
     }
--- a/crates/engine/src/leadership/promotion.rs
+++ b/crates/engine/src/leadership/promotion.rs
@@ -304,7 +304,7 @@
         let value = record.encode();
         loop {
             self.check_lease()?;
-            let begun = Instant::now();
+            let write_started = Instant::now();
             let put = self
                 .engine
                 .terms()
@@ -327,7 +327,7 @@
                 let term = VersionedTerm { record, version };
                 self.engine
                     .terms()
-                    .apply_one(&self.engine, term.clone(), Some(begun));
+                    .apply_one(&self.engine, term.clone(), Some(write_started));
                 return Ok(term);
             }
             sleep(STORE_PAUSE).await;
--- a/crates/engine/src/leadership/promotion_lease.rs
+++ b/crates/engine/src/leadership/promotion_lease.rs
@@ -94,9 +94,8 @@
         self.fencing.subscribe()
     }
 
-    /// Makes this process a temporary candidate because it suspects a leader. If no
-    /// process holds the lease, this one acquires it after the candidates ranked before it had their
-    /// chance.
+    /// Makes this process a temporary candidate because it suspects a leader. If no process holds
+    /// the lease, this one acquires it after the candidates ranked before it had their chance.
     pub fn become_candidate(&self) {
         let until = Instant::now() + CANDIDACY_DURATION;
         *lock(&self.candidate_until) = Some(until);
--- a/crates/engine/src/leadership/term_confirmation.rs
+++ b/crates/engine/src/leadership/term_confirmation.rs
@@ -88,7 +88,7 @@
     if group.evidence() >= Some(since) {
         return true;
     }
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let Some(newest) = ask_holder(engine).await else {
         return false;
     };
@@ -96,8 +96,8 @@
     if !terms.has_read() || terms.version() < newest {
         return false;
     }
-    terms.confirm_block(engine, group, asked);
-    let is_renewed = group.evidence() >= Some(asked);
+    terms.confirm_block(engine, group, requested_at);
+    let is_renewed = group.evidence() >= Some(requested_at);
     if is_renewed {
         metrics::counter!("stilequay_terms_vouched_total").increment(1);
     }
--- a/crates/engine/src/leadership/term_recovery.rs
+++ b/crates/engine/src/leadership/term_recovery.rs
@@ -40,7 +40,7 @@
         terms.clear_lost(group);
         return Ok(());
     };
-    let begun = Instant::now();
+    let write_started = Instant::now();
     let key = TermRecord::key(group);
     let put = terms
         .store()
@@ -50,7 +50,7 @@
     if let PutOutcome::Stored(version) = outcome {
         log::info!("the store had lost the term record of group {group}: it was rewritten");
         let term = VersionedTerm { version, ..term };
-        terms.apply_one(engine, term, Some(begun));
+        terms.apply_one(engine, term, Some(write_started));
     }
     Ok(())
 }
--- a/crates/engine/src/link/client.rs
+++ b/crates/engine/src/link/client.rs
@@ -142,13 +142,13 @@
         !state.leaving && !state.is_alive(Instant::now())
     }
 
-    /// Reports that the answer to a request sent at `asked` is overdue. If nothing else was
+    /// Reports that the answer to a request sent at `requested_at` is overdue. If nothing else was
     /// received since, the request counts as an unanswered ping; once the link is suspect, its next
     /// user opens a new one.
-    pub fn report_timeout(&self, asked: Instant) {
+    pub fn report_timeout(&self, requested_at: Instant) {
         let mut state = self.lock();
-        if state.last_activity <= asked {
-            state.pinged_at.get_or_insert(asked);
+        if state.last_activity <= requested_at {
+            state.pinged_at.get_or_insert(requested_at);
         }
         drop(state);
         self.request_registered.notify_one();
--- a/crates/engine/src/peers/declared.rs
+++ b/crates/engine/src/peers/declared.rs
@@ -26,9 +26,9 @@
     }
 }
 
-/// The declared state of this process that is newer than `known`, for a query that arrived at
-/// `asked`.
-pub fn newer(engine: &Engine, known: DeclaredVersions, asked: Instant) -> DeclaredState {
+/// The declared state of this process that is newer than `known`, for a query received at
+/// `arrived_at`.
+pub fn newer(engine: &Engine, known: DeclaredVersions, arrived_at: Instant) -> DeclaredState {
     // Must be read before the configuration, which must not be older than this time claims.
     let complete_as_of = engine.following().configuration_complete_as_of();
     let configuration = engine.configuration();
@@ -41,7 +41,7 @@
         configuration: configuration.map(|newest| declare_configuration(engine, &newest, known)),
         directory: is_newer.then(|| declare_directory(&directory, known.directory, Instant::now())),
         evacuations: is_evacuation_newer.then(|| Evacuations::clone(&evacuations)),
-        complete_after_ms: complete_as_of.map(|at| signed_millis(asked, at)),
+        complete_after_ms: complete_as_of.map(|at| signed_millis(arrived_at, at)),
     }
 }
 
@@ -129,23 +129,23 @@
     if following::uses_relays(engine) {
         return;
     }
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let versions = known_versions(engine);
     let peers = choose_peers(engine);
     let queries = peers
         .iter()
         .map(|peer| engine.peers().query_declared(*peer, versions));
     let mut answers: FuturesUnordered<_> = queries.collect();
-    while let Ok(Some(answer)) = timeout_at(asked + ANSWER_TIMEOUT, answers.next()).await {
+    while let Ok(Some(answer)) = timeout_at(requested_at + ANSWER_TIMEOUT, answers.next()).await {
         let Ok(state) = answer else { continue };
         metrics::counter!("stilequay_peer_answers_total").increment(1);
-        apply(engine, state, asked);
+        apply(engine, state, requested_at);
     }
 }
 
-/// Applies the declared state of a peer that was queried at `asked`. Ages are counted back from
-/// `asked`, so transit time can make a departure look older than it is, but never younger.
-pub(crate) fn apply(engine: &Engine, state: DeclaredState, asked: Instant) {
+/// Applies the declared state of a peer that was queried at `requested_at`. Ages are counted back
+/// from then, so transit time can make a departure look older than it is, but never younger.
+pub(crate) fn apply(engine: &Engine, state: DeclaredState, requested_at: Instant) {
     let is_taken = match state.configuration {
         Some(configuration) => apply_configuration(engine, configuration),
         None => true,
@@ -156,7 +156,7 @@
     let complete_as_of = state.complete_after_ms;
     if let (true, Some(at)) = (
         is_taken,
-        complete_as_of.and_then(|ms| moment_after(asked, ms)),
+        complete_as_of.and_then(|ms| moment_after(requested_at, ms)),
     ) {
         engine.following().prove_configuration(at);
     }
@@ -167,13 +167,15 @@
         return;
     }
     let members = declared.members.into_iter();
-    let members = members.map(|member| read_member(member, asked)).collect();
+    let members = members
+        .map(|member| read_member(member, requested_at))
+        .collect();
     let directory = engine.directory();
     let next = match declared.extent {
         DeclaredExtent::Whole => {
-            directory.with_entries(declared.version, members, Departure::at(asked))
+            directory.with_entries(declared.version, members, Departure::at(requested_at))
         }
-        DeclaredExtent::Changes => directory.merged_with(declared.version, members, asked),
+        DeclaredExtent::Changes => directory.merged_with(declared.version, members, requested_at),
     };
     engine.set_directory(next);
 }
@@ -197,10 +199,10 @@
     }
 }
 
-fn read_member(declared: DeclaredMember, asked: Instant) -> Member {
+fn read_member(declared: DeclaredMember, requested_at: Instant) -> Member {
     let state = match declared.departure {
         None => MemberState::Ready,
-        Some(departure) => read_departure(departure, asked),
+        Some(departure) => read_departure(departure, requested_at),
     };
     Member {
         id: declared.id,
@@ -209,8 +211,8 @@
         zone: declared.zone,
         role: declared.role,
         slots: declared.slots,
-        // The remaining time was measured after the query was sent; counted from `asked`, slow
-        // start would end too early.
+        // The remaining time was measured after the query was sent; counted from `requested_at`,
+        // slow start would end too early.
         cold_until: declared
             .cold_left_ms
             .map(|left_ms| Instant::now() + Duration::from_millis(left_ms)),
@@ -219,14 +221,14 @@
     }
 }
 
-fn read_departure(declared: DeclaredDeparture, asked: Instant) -> MemberState {
-    let before = |age_ms: u64| asked.checked_sub(Duration::from_millis(age_ms));
+fn read_departure(declared: DeclaredDeparture, requested_at: Instant) -> MemberState {
+    let before = |age_ms: u64| requested_at.checked_sub(Duration::from_millis(age_ms));
     let departure = Departure {
-        learned_at: before(declared.learned_age_ms).unwrap_or(asked),
+        learned_at: before(declared.learned_age_ms).unwrap_or(requested_at),
         earliest: declared.earliest_age_ms.and_then(before),
         lapsed_until: declared
             .lapsed_left_ms
-            .map(|left_ms| asked + Duration::from_millis(left_ms)),
+            .map(|left_ms| requested_at + Duration::from_millis(left_ms)),
     };
     match (declared.gone, departure.lapsed_until) {
         (true, Some(_)) => MemberState::Lapsed(departure),
--- a/crates/engine/src/peers/mod.rs
+++ b/crates/engine/src/peers/mod.rs
@@ -63,8 +63,8 @@
 
 /// Queries a few peers about `groups` and applies their answers.
 pub async fn query(engine: &Engine, groups: &[GroupName]) {
-    let asked = Instant::now();
-    let until = asked + ANSWER_TIMEOUT;
+    let requested_at = Instant::now();
+    let until = requested_at + ANSWER_TIMEOUT;
     let peers = choose_peers(engine);
     let queries = peers
         .iter()
@@ -77,7 +77,7 @@
         metrics::counter!("stilequay_peer_answers_total").increment(1);
         group_snapshots
             .into_iter()
-            .for_each(|snapshot| apply(engine, snapshot, asked));
+            .for_each(|snapshot| apply(engine, snapshot, requested_at));
     }
 }
 
@@ -87,14 +87,14 @@
     chosen.copied().collect()
 }
 
-/// Applies a peer's snapshot of a group. `asked` is the time at which the query was sent.
-pub(crate) fn apply(engine: &Engine, snapshot: GroupSnapshot, asked: Instant) {
+/// Applies a peer's snapshot of a group. `requested_at` is the time at which the query was sent.
+pub(crate) fn apply(engine: &Engine, snapshot: GroupSnapshot, requested_at: Instant) {
     if let Some(TermSnapshot { record, version }) = snapshot.term {
         let term = VersionedTerm { record, version };
         engine.terms().apply_one(engine, term, None);
     }
     let group = engine.group(&snapshot.group);
-    let before = |age_ms: u64| asked.checked_sub(Duration::from_millis(age_ms));
+    let before = |age_ms: u64| requested_at.checked_sub(Duration::from_millis(age_ms));
     if let Some(LeaderSnapshot {
         member,
         confirmed,
