--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -2,7 +2,7 @@
 
 use crate::configuration::{Configuration, Route};
 use crate::directory::{Directory, Member};
-use crate::evacuation::{Evacuations, Gate, Schedule, Sender};
+use crate::evacuation::{EvacuationGate, Evacuations, Schedule, Sender};
 use crate::events::{Event, EventLog};
 use crate::following::{self, Following};
 use crate::group::Group;
@@ -317,9 +317,9 @@
     }
 
     /// Creates the check that runs before each command to `member`.
-    fn gate(&self, member: &Member, sender: Sender) -> Gate {
+    fn gate(&self, member: &Member, sender: Sender) -> EvacuationGate {
         let schedule = Arc::clone(&self.evacuation_schedule);
-        Gate::new(schedule, member.zone.clone(), sender)
+        EvacuationGate::new(schedule, member.zone.clone(), sender)
     }
 
     /// The current member directory.
@@ -440,7 +440,7 @@
         self.processes.load(Ordering::Relaxed)
     }
 
-    /// The state of following the store.
+    /// Where this process gets the store's updates from, and how current its data is.
     pub fn following(&self) -> &Following {
         &self.following
     }
@@ -475,7 +475,7 @@
         &self.announced_promotion_lease
     }
 
-    /// The placement of members on their homes.
+    /// The assignment of homes and other tasks to the processes of the fleet.
     pub fn homes(&self) -> &Arc<Homes> {
         &self.homes
     }
@@ -579,7 +579,7 @@
 
     /// The pool of this process's own connections to `member`. It serves the process's own sessions
     /// if it [connects directly](Self::connects_directly), other processes if it is a home of the
-    /// member, and control orders.
+    /// member, and control commands.
     pub fn pool(&self, member: &Arc<Member>) -> Arc<MemberPool> {
         let mut pools = lock(&self.pools);
         if let Some(pool) = pools.get(&member.id) {
--- a/crates/engine/src/leadership/record.rs
+++ b/crates/engine/src/leadership/record.rs
@@ -26,7 +26,7 @@
 pub struct TermRecord {
     /// The group.
     pub group: GroupName,
-    /// Number of the term; rises with each change of leader.
+    /// Number of the leadership; increases with each change of leader.
     pub epoch: Epoch,
     /// Phase of the change of leader.
     pub phase: TermPhase,
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// [`RecordError::Malformed`] if it is anything else.
+    /// [`RecordError::Malformed`] if `value` doesn't encode a term record.
     pub fn decode(value: &[u8]) -> Result<Self, RecordError> {
         Ok(rmp_serde::from_slice(value)?)
     }
--- a/crates/engine/src/leadership/term_confirmation.rs
+++ b/crates/engine/src/leadership/term_confirmation.rs
@@ -1,7 +1,7 @@
 //! Confirms leadership terms without reading the store.
 //!
-//! Only the holder of the promotion lease changes leaders, so it can confirm that no leader was
-//! changed by anybody else. One number suffices for all groups: the version of the newest term
+//! Only the holder of the promotion lease changes leaders, so it can confirm that no other process
+//! has changed one. One number suffices for all groups: the version of the newest term
 //! record. A process that knows the records up to that version knows all leaders as of the moment
 //! at which it asked. Confirming them by reading the records would take a number of store calls
 //! that grows with the number of groups.
@@ -88,7 +88,7 @@
     if group.evidence() >= Some(since) {
         return true;
     }
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let Some(newest) = ask_holder(engine).await else {
         return false;
     };
@@ -96,8 +96,8 @@
     if !terms.has_read() || terms.version() < newest {
         return false;
     }
-    terms.confirm_block(engine, group, asked);
-    let is_renewed = group.evidence() >= Some(asked);
+    terms.confirm_block(engine, group, requested_at);
+    let is_renewed = group.evidence() >= Some(requested_at);
     if is_renewed {
         metrics::counter!("stilequay_terms_vouched_total").increment(1);
     }
--- a/crates/engine/src/leadership/term_recovery.rs
+++ b/crates/engine/src/leadership/term_recovery.rs
@@ -12,7 +12,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
 /// Rewrites lost records until the process ends. In a large fleet many processes know them; only
-/// those that follow the store directly and the last writer of a record rewrite it.
+/// those that watch the store themselves and the last writer of a record rewrite it.
 pub async fn rewrite_lost_terms(engine: &Engine) {
     let mut lost = engine.terms().subscribe_lost();
     // The sender lives as long as the follower.
@@ -40,7 +40,7 @@
         terms.clear_lost(group);
         return Ok(());
     };
-    let begun = Instant::now();
+    let write_started = Instant::now();
     let key = TermRecord::key(group);
     let put = terms
         .store()
@@ -50,7 +50,7 @@
     if let PutOutcome::Stored(version) = outcome {
         log::info!("the store had lost the term record of group {group}: it was rewritten");
         let term = VersionedTerm { version, ..term };
-        terms.apply_one(engine, term, Some(begun));
+        terms.apply_one(engine, term, Some(write_started));
     }
     Ok(())
 }
--- a/crates/engine/src/pool/member.rs
+++ b/crates/engine/src/pool/member.rs
@@ -8,7 +8,7 @@
 use super::queue::QueueDelay;
 use super::set::{ConnectionSet, Fit};
 use crate::directory::Member;
-use crate::evacuation::{Gate, MayNotSend};
+use crate::evacuation::{EvacuationGate, MayNotSend};
 use crate::names::{DatabaseName, TenantName};
 use crate::ports::{BackEnd, BackEndConnection, ConnectError, Control, MemberReport};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -45,6 +45,7 @@
 
 #[derive(Debug)]
 struct PoolState {
+    /// No connection is opened before this time, because the member's queue was full.
     open_after: Option<Instant>,
     /// Number of connections that the member accepts from this process, and until when that
     /// holds.
@@ -69,7 +70,7 @@
     member: Arc<Member>,
     back_end: Arc<dyn BackEnd>,
     remote: bool,
-    gate: Gate,
+    gate: EvacuationGate,
     /// Set once the server has restarted: a new connection would reach its next incarnation.
     retired: AtomicBool,
     connections: ConnectionSet<Established, DatabaseName>,
@@ -97,7 +98,7 @@
             member,
             back_end,
             remote,
-            gate: Gate::default(),
+            gate: EvacuationGate::default(),
             retired: AtomicBool::new(false),
             connections: ConnectionSet::new(LimiterSettings {
                 slots: limit,
@@ -116,7 +117,7 @@
     }
 
     /// Makes all sending subject to `gate`.
-    pub fn with_gate(self, gate: Gate) -> Self {
+    pub fn with_gate(self, gate: EvacuationGate) -> Self {
         Self { gate, ..self }
     }
 
@@ -129,7 +130,7 @@
         self.gate.check(Instant::now())
     }
 
-    pub(super) fn gate(&self) -> &Gate {
+    pub(super) fn gate(&self) -> &EvacuationGate {
         &self.gate
     }
 
@@ -211,7 +212,7 @@
             .await
     }
 
-    /// Same as [`MemberPool::acquire`], but waits only until `paced_until` for the slow start
+    /// Same as [`MemberPool::acquire`], but waits only until `paced_until` for the slow-start
     /// limit of a cold member.
     ///
     /// # Errors
@@ -227,7 +228,7 @@
         let permit = self.admit(acquire_request, deadline).await?;
         // The permission may have been revoked during the wait.
         self.check_sending()?;
-        let mut connection = self.connection(acquire_request, permit, deadline).await?;
+        let mut connection = self.take_or_open(acquire_request, permit, deadline).await?;
         connection.admit(acquire_request.admission(deadline));
         let paced = connection.pace(paced_until).await;
         paced.map_err(AcquireError::SlowStart)?;
@@ -235,7 +236,7 @@
     }
 
     /// Takes an idle connection or opens a new one, holding `permit`.
-    async fn connection(
+    async fn take_or_open(
         self: &Arc<Self>,
         acquire_request: &AcquireRequest,
         permit: Permit<DatabaseName>,
@@ -347,7 +348,7 @@
                 let until = Instant::now() + CONTROL_TIMEOUT;
                 let acquire_request = AcquireRequest::internal();
                 let permit = self.admit(&acquire_request, until).await?;
-                let mut connection = self.connection(&acquire_request, permit, until).await?;
+                let mut connection = self.take_or_open(&acquire_request, permit, until).await?;
                 Ok(connection.control(control).await?)
             }
             Err(error) => Err(ControlError::Connect(error)),
@@ -399,8 +400,7 @@
         }
     }
 
-    /// Closes the idle connections, on which nothing is to be sent any more. Those in use stay
-    /// open.
+    /// Closes the idle connections, which must not be used any longer. Those in use stay open.
     pub fn close_idle_connections(&self) {
         drop(self.connections.take_all(|_| true));
     }
--- a/crates/engine/src/ports/peers.rs
+++ b/crates/engine/src/ports/peers.rs
@@ -38,7 +38,7 @@
 pub struct LeaderSnapshot {
     /// The leader, or the member that is being promoted.
     pub member: MemberId,
-    /// Whether it is known to have become leader.
+    /// Whether it is known to have become primary.
     pub confirmed: bool,
     /// Age of the newest evidence for its term, ms.
     pub evidence_age_ms: Option<u64>,
@@ -62,7 +62,9 @@
     pub version: u64,
 }
 
-/// Versions of the declared state that a process has; zero for state that it doesn't have.
+/// Versions of the declared state that a process has; zero for state that it doesn't have. Declared
+/// is what operators and servers have written: the configuration, the members' directory entries
+/// and the evacuated zones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeclaredVersions {
     /// Version of the configuration.
