--- a/crates/engine/tests/departures.rs
+++ b/crates/engine/tests/departures.rs
@@ -12,7 +12,7 @@
 use support::Fleet;
 use tokio::time::{Instant, advance};
 
-const USE: Duration = Duration::from_secs(4);
+const GRACE: Duration = Duration::from_secs(4);
 
 /// Whether a member that leaves is past its use after `waited`, where its departure was
 /// learned of `unseen` after the entries had last said nothing of it.
@@ -38,7 +38,7 @@
     };
     advance(Duration::from_millis(waited_ms)).await;
     let engine = &fleet.nodes[0].engine;
-    assert_eq!(engine.settings().departure_grace, USE);
+    assert_eq!(engine.settings().departure_grace, GRACE);
     for state in [
         MemberState::Leaving(departure),
         MemberState::Gone(departure),
@@ -103,27 +103,27 @@
 
 /// What becomes of the entry of a server after it went away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Then {
+enum EntryChange {
     Stays,
-    ComesBack,
-    IsReplacedAtItsAddress,
+    Returns,
+    Replaced,
 }
 
 /// Where an entry stands some time after the store is back, where it was away.
 #[rstest]
-#[case::the_store_was_there(None, Then::Stays, 0, "gone")]
-#[case::just_back(Some(0), Then::Stays, 0, "lapsed")]
-#[case::within_two_seconds(Some(0), Then::Stays, 1_900, "lapsed")]
-#[case::missing_after_that(Some(0), Then::Stays, 2_500, "gone")]
-#[case::learned_late(Some(1_500), Then::Stays, 1_000, "gone")]
-#[case::long_after_the_return(Some(3_000), Then::Stays, 0, "gone")]
-#[case::alive(Some(0), Then::ComesBack, 1_500, "ready")]
-#[case::back_late(Some(0), Then::ComesBack, 4_000, "ready")]
-#[case::replaced(Some(0), Then::IsReplacedAtItsAddress, 300, "gone")]
+#[case::the_store_was_there(None, EntryChange::Stays, 0, "gone")]
+#[case::just_back(Some(0), EntryChange::Stays, 0, "lapsed")]
+#[case::within_two_seconds(Some(0), EntryChange::Stays, 1_900, "lapsed")]
+#[case::missing_after_that(Some(0), EntryChange::Stays, 2_500, "gone")]
+#[case::learned_late(Some(1_500), EntryChange::Stays, 1_000, "gone")]
+#[case::long_after_the_return(Some(3_000), EntryChange::Stays, 0, "gone")]
+#[case::alive(Some(0), EntryChange::Returns, 1_500, "ready")]
+#[case::back_late(Some(0), EntryChange::Returns, 4_000, "ready")]
+#[case::replaced(Some(0), EntryChange::Replaced, 300, "gone")]
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_lapsed_with_the_store_is_expected_back(
     #[case] back_for_ms: Option<u64>,
-    #[case] then: Then,
+    #[case] change: EntryChange,
     #[case] later_ms: u64,
     #[case] expected: &str,
 ) {
@@ -147,10 +147,10 @@
     }
     advance(Duration::from_millis(later_ms)).await;
     let now = Instant::now();
-    let present = match then {
-        Then::Stays => None,
-        Then::ComesBack => Some(member(MemberState::Ready)),
-        Then::IsReplacedAtItsAddress => Some(Member {
+    let present = match change {
+        EntryChange::Stays => None,
+        EntryChange::Returns => Some(member(MemberState::Ready)),
+        EntryChange::Replaced => Some(Member {
             id: "b".into(),
             ..member(MemberState::Ready)
         }),
--- a/crates/engine/tests/evacuation_regions.rs
+++ b/crates/engine/tests/evacuation_regions.rs
@@ -27,7 +27,7 @@
 }
 
 /// A configuration in which reads of one database may run in the north only.
-fn northern_reads() -> Configuration {
+fn restrict_reads_to_north() -> Configuration {
     let mut next = configuration(1);
     next.version = 2;
     let route = Route::clone(&next.routes[BOUNDED_DATABASE]);
@@ -45,7 +45,7 @@
 #[tokio::test(start_paused = true)]
 async fn reads_of_an_evacuated_home_region_are_refused_at_once() {
     let fleet = Fleet::start_bound(ZONES, 3, None, Some(BOUND), regions).await;
-    fleet.configuration.send_replace(northern_reads());
+    fleet.configuration.send_replace(restrict_reads_to_north());
     sleep(Duration::from_secs(1)).await;
     let mut client = fleet.session(2, BOUNDED_DATABASE);
     assert!(client.read("x").await.outcome.is_ok());
--- a/crates/engine/tests/evacuation_schedule.rs
+++ b/crates/engine/tests/evacuation_schedule.rs
@@ -28,7 +28,7 @@
 #[case::learned_at_once(0, 2_990, 3_010)]
 #[case::learned_late(1_500, 1_490, 1_510)]
 #[tokio::test(start_paused = true)]
-async fn the_bound_counts_from_the_last_proof_without_the_request(
+async fn the_deadline_is_computed_from_the_last_proof(
     #[case] unproven_ms: u64,
     #[case] open_ms: u64,
     #[case] closed_ms: u64,
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_a_proof_nothing_is_sent_and_no_time_is_given() {
+async fn nothing_is_sent_without_a_recent_proof() {
     let (schedule, proof) = schedule();
     let now = Instant::now();
     let check = |zone, at| schedule.check(zone, Sender::Home, at);
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_zone_that_is_back_is_told_since_when() {
+async fn restored_zones_report_the_time_of_their_return() {
     let (schedule, proof) = schedule();
     proof.send_replace(Some(Instant::now()));
     schedule.set_evacuated(&zones(&["zone-a", "zone-b"]), Instant::now());
@@ -93,7 +93,7 @@
 #[case::time_for_three_rounds(8, 2_700, 3)]
 #[case::time_for_many(9, 16_000, 1)]
 #[case::too_late(3, 0, 3)]
-fn leaders_move_a_few_at_a_time(
+fn concurrent_leader_changes_depend_on_the_time_left(
     #[case] changes: usize,
     #[case] left_ms: u64,
     #[case] expected: usize,
@@ -106,7 +106,7 @@
 
 /// Whoever reads logs relies on the fields.
 #[test]
-fn events_of_evacuations_have_their_fields() {
+fn evacuation_events_have_their_fields() {
     let taken = Event::EvacuationsTaken {
         version: 7,
         zones: zones(&["zone-a", "zone-b"]),
--- a/crates/engine/tests/homes.rs
+++ b/crates/engine/tests/homes.rs
@@ -27,17 +27,17 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// Processes of a fleet for which 34 connections of a member do not suffice.
-const LARGE: usize = 20;
+const LARGE_FLEET: usize = 20;
 
-async fn large_fleet() -> Fleet {
-    large_fleet_in(&["zone-a"]).await
+async fn start_large_fleet() -> Fleet {
+    start_large_fleet_in(&["zone-a"]).await
 }
 
 /// The processes that follow the store, once these are the first two of all and whoever holds the
 /// lease for promotions, and no others.
-async fn until_few_follow(fleet: &Fleet) -> Vec<usize> {
+async fn wait_for_store_readers(fleet: &Fleet) -> Vec<usize> {
     let is_direct = |node: &Node| node.engine.following().is_direct();
-    let is_to = |node: &Node| {
+    let role_of = |node: &Node| {
         let zone = &node.engine.settings().zone;
         let holds = fleet.lease().holder.as_str() == node.name;
         (
@@ -46,35 +46,35 @@
         )
     };
     until(|| {
-        fleet.nodes.iter().all(|node| match is_to(node) {
+        fleet.nodes.iter().all(|node| match role_of(node) {
             (true, _) => is_direct(node),
             (false, true) => true,
             (false, false) => !is_direct(node),
         })
     })
     .await;
-    let roots = fleet.nodes.iter().filter(|node| is_to(node).0);
-    assert_eq!(roots.count(), 2);
+    let store_readers = fleet.nodes.iter().filter(|node| role_of(node).0);
+    assert_eq!(store_readers.count(), 2);
     let nodes = fleet.nodes.iter().enumerate();
     let direct = nodes.filter(|(_, node)| is_direct(node));
     direct.map(|(index, _)| index).collect()
 }
 
 /// A large fleet whose processes stand in `zones` in turn.
-async fn large_fleet_in(zones: &'static [&'static str]) -> Fleet {
-    let fleet = Fleet::start_in(zones, LARGE).await;
+async fn start_large_fleet_in(zones: &'static [&'static str]) -> Fleet {
+    let fleet = Fleet::start_in(zones, LARGE_FLEET).await;
     until(|| {
         fleet
             .nodes
             .iter()
-            .all(|node| node.engine.processes() == LARGE)
+            .all(|node| node.engine.processes() == LARGE_FLEET)
     })
     .await;
     until(|| {
         fleet
             .nodes
             .iter()
-            .all(|node| node.engine.homes().fleet().len() == LARGE)
+            .all(|node| node.engine.homes().fleet().len() == LARGE_FLEET)
     })
     .await;
     // Connections that were opened before the fleet was known have ended.
@@ -97,12 +97,14 @@
 }
 
 /// A process that holds no connection to any member.
-fn bystander(fleet: &Fleet) -> usize {
+fn uninvolved_node(fleet: &Fleet) -> usize {
     let taken: HashSet<usize> = ["a", "b", "c"]
         .iter()
         .flat_map(|name| homes_of(fleet, name))
         .collect();
-    (0..LARGE).find(|node| !taken.contains(node)).expect("one")
+    (0..LARGE_FLEET)
+        .find(|node| !taken.contains(node))
+        .expect("one")
 }
 
 /// What sessions whose statements may run anywhere reach `member` with.
@@ -125,7 +127,7 @@
 #[case::many_connections_and_few_slots(225, Some(3), 68, false)]
 #[case::slots_that_are_not_told(225, None, 68, true)]
 #[case::the_target(100, Some(8), 6_100, false)]
-fn connections_suffice_by_arithmetic(
+fn direct_connections_depend_on_the_capacity(
     #[case] connections: usize,
     #[case] slots: Option<usize>,
     #[case] processes: usize,
@@ -139,7 +141,7 @@
 #[case::a_share_of_few(63, Some(3), 28)]
 #[case::no_more_than_the_slots_need(225, Some(3), 30)]
 #[case::never_less_than_two(7, Some(3), 2)]
-fn a_home_has_its_share(
+fn connections_per_home_are_limited(
     #[case] connections: usize,
     #[case] slots: Option<usize>,
     #[case] share: usize,
@@ -211,7 +213,7 @@
 /// The groups of one block stand beside one another, so that the store tells of all of them
 /// in one call; each group is in one block.
 #[test]
-fn groups_are_kept_in_blocks() {
+fn each_group_is_in_one_block() {
     let mut names: Vec<GroupName> = (0..9_500)
         .map(|n| Arc::from(format!("group-{n}")))
         .collect();
@@ -257,7 +259,7 @@
 
 /// A process with four times the processor does four times the work for others.
 #[tokio::test(start_paused = true)]
-async fn work_for_others_goes_by_what_a_process_can_bear() {
+async fn tasks_are_assigned_in_proportion_to_weight() {
     let fleet = Fleet::start(1).await;
     let member = member(&fleet, "a");
     let weighted = peers(90).into_iter().enumerate().map(|(index, peer)| Peer {
@@ -265,7 +267,7 @@
         ..peer
     });
     let weighted: Vec<Peer> = weighted.collect();
-    let heavy = |peer: &Peer| peer.weight > 0.3;
+    let is_strong = |peer: &Peer| peer.weight > 0.3;
     let first = (0..4_000).map(|index| {
         let member = Member {
             id: Arc::from(format!("member-{index}")),
@@ -273,19 +275,19 @@
         };
         rank(&weighted, &member)[0].clone()
     });
-    let share = first.filter(heavy).count() as f64 / 4_000.0;
+    let share = first.filter(is_strong).count() as f64 / 4_000.0;
     // 5 of 30 in the zone, of four times the weight: 20 of 45.
     assert!((share - 20.0 / 45.0).abs() < 0.03, "{share}");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_large_fleet_is_served_through_a_few_connections() {
-    let fleet = large_fleet().await;
+    let fleet = start_large_fleet().await;
     let homes: HashSet<usize> = ["a", "b", "c"]
         .iter()
         .flat_map(|name| homes_of(&fleet, name))
         .collect();
-    for node in 0..LARGE {
+    for node in 0..LARGE_FLEET {
         let mut own = fleet.session(node, OWN_DATABASE);
         assert!(own.write("x 1").await.outcome.is_ok());
         assert!(own.read("x").await.outcome.is_ok());
@@ -307,9 +309,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn sessions_keep_their_values_statements_and_transactions_at_a_home() {
-    let fleet = large_fleet().await;
-    let node = bystander(&fleet);
+async fn session_state_and_transactions_work_through_a_home() {
+    let fleet = start_large_fleet().await;
+    let node = uninvolved_node(&fleet);
     let mut first = fleet.session(node, LEADER_DATABASE);
     let mut second = fleet.session(node, LEADER_DATABASE);
     for (client, value) in [(&mut first, "one"), (&mut second, "two")] {
@@ -365,8 +367,8 @@
 #[case::cut_off(Loss::Cut)]
 #[tokio::test(start_paused = true)]
 async fn a_write_at_a_home_that_is_lost_may_have_run(#[case] loss: Loss) {
-    let mut fleet = large_fleet().await;
-    let node = bystander(&fleet);
+    let mut fleet = start_large_fleet().await;
+    let node = uninvolved_node(&fleet);
     let homes = homes_of(&fleet, "a");
     let name = fleet.nodes[node].name.clone();
     let mut client = fleet.session(node, OWN_DATABASE);
@@ -405,9 +407,9 @@
 
 /// A home that is going to stop serves on what it has begun, and gets nothing new.
 #[tokio::test(start_paused = true)]
-async fn a_home_that_stops_hands_its_place_over() {
-    let fleet = large_fleet().await;
-    let node = bystander(&fleet);
+async fn a_stopping_home_hands_over_to_the_next() {
+    let fleet = start_large_fleet().await;
+    let node = uninvolved_node(&fleet);
     let mut open = fleet.session(node, OWN_DATABASE);
     assert!(open.begin(false).await.outcome.is_ok());
     assert!(open.write("x 1").await.outcome.is_ok());
@@ -424,9 +426,9 @@
 
 /// With every other process out of reach, one connects by itself.
 #[tokio::test(start_paused = true)]
-async fn a_process_that_reaches_no_home_connects_itself() {
-    let fleet = large_fleet().await;
-    let node = bystander(&fleet);
+async fn a_process_that_reaches_no_home_connects_directly() {
+    let fleet = start_large_fleet().await;
+    let node = uninvolved_node(&fleet);
     let name = fleet.nodes[node].name.clone();
     let others = fleet.nodes.iter().filter(|other| other.name != name);
     others.for_each(|other| fleet.network().cut(&name, &other.name));
@@ -443,8 +445,8 @@
 
 /// Requests of the highest rank go first at a home, whichever process they come from.
 #[tokio::test(start_paused = true)]
-async fn a_home_knows_the_load_of_the_whole_fleet() {
-    let fleet = large_fleet().await;
+async fn homes_limit_the_load_of_the_whole_fleet() {
+    let fleet = start_large_fleet().await;
     fleet.world.limit_slots(3, 24);
     fleet.world.change("a", |server| server.slowness = 10);
     let callers = fleet.nodes.iter().flat_map(|node| {
@@ -478,16 +480,16 @@
 /// Most of a large fleet asks the store nothing, and knows of changes all the same.
 #[tokio::test(start_paused = true)]
 async fn a_large_fleet_follows_the_store_through_a_few() {
-    let mut fleet = large_fleet().await;
+    let mut fleet = start_large_fleet().await;
     let direct = |fleet: &Fleet| -> Vec<usize> {
         let nodes = fleet.nodes.iter().enumerate();
         let direct = nodes.filter(|(_, node)| node.engine.following().is_direct());
         direct.map(|(index, _)| index).collect()
     };
-    let followers = until_few_follow(&fleet).await;
+    let store_readers = wait_for_store_readers(&fleet).await;
     let mut newer = configuration(1);
     newer.version = 7;
-    for node in &followers {
+    for node in &store_readers {
         fleet.nodes[*node].engine.set_configuration(newer.clone());
     }
     let known = |fleet: &Fleet, version| {
@@ -495,11 +497,11 @@
         versions.flatten().filter(|c| c.version == version).count()
     };
     let began = Instant::now();
-    until(|| known(&fleet, 7) == LARGE).await;
+    until(|| known(&fleet, 7) == LARGE_FLEET).await;
     assert!(began.elapsed() < Duration::from_millis(100));
     // A change of leader is known everywhere: the homes have noticed the loss.
     let history = Arc::new(History::default());
-    let node = bystander(&fleet);
+    let node = uninvolved_node(&fleet);
     history.spawn_caller(&fleet.nodes[node].engine, OWN_DATABASE, 0);
     sleep(Duration::from_secs(1)).await;
     fleet.world.crash("a");
@@ -512,14 +514,14 @@
     })
     .await;
     // Where those that follow are lost, the others go to the store themselves.
-    for node in &followers {
+    for node in &store_readers {
         fleet.kill(*node);
     }
-    let others = LARGE - followers.len();
+    let others = LARGE_FLEET - store_readers.len();
     until(|| {
         direct(&fleet)
             .iter()
-            .filter(|n| !followers.contains(n))
+            .filter(|n| !store_readers.contains(n))
             .count()
             == others
     })
@@ -529,15 +531,15 @@
 /// Followers that are cut off from the store are not followed for long.
 #[tokio::test(start_paused = true)]
 async fn a_follower_that_the_store_turns_away_is_not_followed() {
-    let fleet = large_fleet().await;
+    let fleet = start_large_fleet().await;
     let is_direct = |node: usize| fleet.nodes[node].engine.following().is_direct();
-    let followers = until_few_follow(&fleet).await;
-    for node in &followers {
+    let store_readers = wait_for_store_readers(&fleet).await;
+    for node in &store_readers {
         let name = &fleet.nodes[*node].name;
         fleet.records.refuse_node(name, true);
     }
     let began = Instant::now();
-    until(|| (0..LARGE).all(is_direct)).await;
+    until(|| (0..LARGE_FLEET).all(is_direct)).await;
     assert!(began.elapsed() < Duration::from_secs(4));
 }
 
@@ -545,10 +547,10 @@
 /// the leader is replaced.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn a_home_that_wakes_breaks_no_promise(#[values(0, 1)] which: usize) {
-    let fleet = large_fleet().await;
+async fn a_home_that_resumes_with_stale_state_breaks_no_guarantee(#[values(0, 1)] which: usize) {
+    let fleet = start_large_fleet().await;
     let history = Arc::new(History::default());
-    let node = bystander(&fleet);
+    let node = uninvolved_node(&fleet);
     for (index, database) in [LEADER_DATABASE, OWN_DATABASE, BOUNDED_DATABASE]
         .iter()
         .enumerate()
@@ -575,15 +577,15 @@
 /// replaced as soon as one that crashes.
 #[tokio::test(start_paused = true)]
 async fn a_leader_that_is_cut_off_with_its_zone_is_replaced_soon() {
-    let fleet = large_fleet_in(&["zone-a", "zone-b", "zone-c"]).await;
+    let fleet = start_large_fleet_in(&["zone-a", "zone-b", "zone-c"]).await;
     let history = Arc::new(History::default());
     let is_inside = |node: usize| fleet.nodes[node].engine.settings().zone.as_ref() == "zone-a";
-    let outside: Vec<usize> = (0..LARGE).filter(|node| !is_inside(*node)).collect();
+    let outside: Vec<usize> = (0..LARGE_FLEET).filter(|node| !is_inside(*node)).collect();
     for (index, node) in outside.iter().enumerate() {
         history.spawn_caller(&fleet.nodes[*node].engine, OWN_DATABASE, index);
     }
     sleep(Duration::from_secs(1)).await;
-    let zone: Vec<String> = (0..LARGE)
+    let zone: Vec<String> = (0..LARGE_FLEET)
         .filter(|node| is_inside(*node))
         .map(|node| fleet.nodes[node].name.clone())
         .chain(["a".to_owned()])
@@ -607,7 +609,7 @@
 /// nobody writes, and nobody is woken.
 #[tokio::test(start_paused = true)]
 async fn a_fleet_that_starts_anew_leaves_its_records_alone() {
-    let mut fleet = large_fleet().await;
+    let mut fleet = start_large_fleet().await;
     let names: Vec<String> = fleet.nodes.iter().map(|node| node.name.clone()).collect();
     let versions = |fleet: &Fleet| -> Vec<u64> {
         let records = names
@@ -616,29 +618,29 @@
         records.map(|record| record.expect("one").version).collect()
     };
     let before = versions(&fleet);
-    (0..LARGE).for_each(|node| fleet.kill(node));
+    (0..LARGE_FLEET).for_each(|node| fleet.kill(node));
     let calls = fleet.records.calls();
     for (index, name) in names.iter().enumerate() {
         fleet.nodes[index] = fleet.respawn_node(name);
     }
-    let knows_fleet = |node: &Node| node.engine.processes() == LARGE;
+    let knows_fleet = |node: &Node| node.engine.processes() == LARGE_FLEET;
     until(|| fleet.nodes.iter().all(knows_fleet)).await;
     sleep(Duration::from_millis(900)).await;
     assert_eq!(versions(&fleet), before);
     // Each reads the records once and follows them until it knows whom to follow.
-    let each = (fleet.records.calls() - calls) / LARGE as u64;
+    let each = (fleet.records.calls() - calls) / LARGE_FLEET as u64;
     assert!(each <= 4, "{each}");
 }
 
 /// Who goes back to the store goes on from what it was told: nothing is read in whole again.
 #[tokio::test(start_paused = true)]
 async fn a_process_that_goes_back_to_the_store_goes_on_from_what_it_knows() {
-    let mut fleet = large_fleet().await;
+    let mut fleet = start_large_fleet().await;
     let is_direct = |fleet: &Fleet, node: usize| fleet.nodes[node].engine.following().is_direct();
-    let followers = until_few_follow(&fleet).await;
+    let store_readers = wait_for_store_readers(&fleet).await;
     let before = fleet.records.whole_reads();
-    followers.iter().for_each(|node| fleet.kill(*node));
-    let others = (0..LARGE).filter(|node| !followers.contains(node));
+    store_readers.iter().for_each(|node| fleet.kill(*node));
+    let others = (0..LARGE_FLEET).filter(|node| !store_readers.contains(node));
     let others: Vec<usize> = others.collect();
     until(|| others.iter().all(|node| is_direct(&fleet, *node))).await;
     sleep(Duration::from_secs(1)).await;
@@ -659,11 +661,11 @@
 /// go on to the next one, and take nothing of it for the member's fault.
 #[tokio::test(start_paused = true)]
 async fn a_home_that_does_not_know_the_member_is_passed_over() {
-    let fleet = large_fleet().await;
+    let fleet = start_large_fleet().await;
     let new = homes_of(&fleet, "a")[0];
     fleet.nodes[new].abort();
     fleet.nodes[new].engine.set_directory(Directory::default());
-    for node in (0..LARGE).filter(|node| *node != new) {
+    for node in (0..LARGE_FLEET).filter(|node| *node != new) {
         let mut client = fleet.session(node, OWN_DATABASE);
         for _ in 0..3 {
             let reply = client.write("x 1").await;
@@ -675,8 +677,8 @@
 /// An evidence reader that is cut off from everybody holds the others up for a moment only:
 /// they ask the one that follows.
 #[tokio::test(start_paused = true)]
-async fn an_evidence_reader_that_is_cut_off_is_not_asked_again_and_again() {
-    let fleet = large_fleet().await;
+async fn an_unreachable_evidence_reader_is_skipped() {
+    let fleet = start_large_fleet().await;
     let reader = fleet.nodes[0].engine.homes().evidence_readers(0)[0]
         .node
         .to_string();
--- a/crates/engine/tests/pool.rs
+++ b/crates/engine/tests/pool.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 struct SlowBackEnd {
     inner: WorldBackEnd,
-    time: Duration,
+    delay: Duration,
     opened: std::sync::atomic::AtomicUsize,
 }
 
@@ -28,21 +28,21 @@
         member: &Member,
         tenant: Option<&TenantName>,
     ) -> Result<Box<dyn BackEndConnection>, ConnectError> {
-        sleep(self.time).await;
+        sleep(self.delay).await;
         self.opened
             .fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         self.inner.connect(member, tenant).await
     }
 }
 
-fn pool(time: Duration) -> (Arc<World>, Arc<SlowBackEnd>, Arc<MemberPool>) {
+fn pool(delay: Duration) -> (Arc<World>, Arc<SlowBackEnd>, Arc<MemberPool>) {
     let world = World::new(&["a", "b", "c"]);
     let back_end = Arc::new(SlowBackEnd {
         inner: WorldBackEnd {
             world: Arc::clone(&world),
             node: "node-0".to_owned(),
         },
-        time,
+        delay,
         opened: Default::default(),
     });
     let directory =
@@ -52,7 +52,7 @@
     (world, back_end, pool)
 }
 
-fn soon(millis: u64) -> Instant {
+fn deadline_in(millis: u64) -> Instant {
     Instant::now() + Duration::from_millis(millis)
 }
 
@@ -64,36 +64,36 @@
 async fn an_opening_that_is_given_up_is_kept_for_the_next() {
     let (_world, back_end, pool) = pool(Duration::from_millis(100));
     let acquire_request = AcquireRequest::internal();
-    let given_up = pool.acquire(&acquire_request, soon(40)).await;
+    let given_up = pool.acquire(&acquire_request, deadline_in(40)).await;
     assert_eq!(given_up.err(), Some(AcquireError::Exhausted));
     sleep(Duration::from_millis(100)).await;
-    assert!(pool.acquire(&acquire_request, soon(5)).await.is_ok());
+    assert!(pool.acquire(&acquire_request, deadline_in(5)).await.is_ok());
     assert_eq!(opened(&back_end), 1);
     // Nor does it count as a failure of the member.
     assert_eq!(pool.health().unreachable_since(), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn connections_in_use_are_bounded_and_those_that_wait_are_served() {
+async fn the_connection_limit_holds_and_waiting_requests_are_served() {
     let (_world, back_end, pool) = pool(Duration::ZERO);
     pool.set_limit(2);
     let acquire_request = AcquireRequest::internal();
     let first = pool
-        .acquire(&acquire_request, soon(50))
+        .acquire(&acquire_request, deadline_in(50))
         .await
         .expect("free");
     let second = pool
-        .acquire(&acquire_request, soon(50))
+        .acquire(&acquire_request, deadline_in(50))
         .await
         .expect("free");
-    let third = pool.acquire(&acquire_request, soon(50)).await;
+    let third = pool.acquire(&acquire_request, deadline_in(50)).await;
     assert_eq!(third.err(), Some(AcquireError::Exhausted));
-    let waiting = pool.acquire(&acquire_request, soon(500));
-    let giving_back = async {
+    let waiting = pool.acquire(&acquire_request, deadline_in(500));
+    let release = async {
         sleep(Duration::from_millis(100)).await;
         drop(first);
     };
-    let (third, ()) = tokio::join!(waiting, giving_back);
+    let (third, ()) = tokio::join!(waiting, release);
     assert!(third.is_ok());
     assert_eq!(opened(&back_end), 2);
     drop(second);
@@ -104,7 +104,7 @@
     let (_world, back_end, pool) = pool(Duration::ZERO);
     let acquire_request = AcquireRequest::internal();
     let mut connection = pool
-        .acquire(&acquire_request, soon(50))
+        .acquire(&acquire_request, deadline_in(50))
         .await
         .expect("free");
     let begin = Command::Begin {
@@ -114,7 +114,7 @@
     connection.run(&begin).await.expect("begun");
     drop(connection);
     drop(
-        pool.acquire(&acquire_request, soon(50))
+        pool.acquire(&acquire_request, deadline_in(50))
             .await
             .expect("free"),
     );
@@ -126,7 +126,7 @@
     let (_world, back_end, pool) = pool(Duration::ZERO);
     let acquire_request = AcquireRequest::internal();
     let mut connection = pool
-        .acquire(&acquire_request, soon(50))
+        .acquire(&acquire_request, deadline_in(50))
         .await
         .expect("free");
     let begin = Command::Begin {
@@ -137,7 +137,7 @@
     connection.roll_back();
     sleep(Duration::from_millis(50)).await;
     drop(
-        pool.acquire(&acquire_request, soon(50))
+        pool.acquire(&acquire_request, deadline_in(50))
             .await
             .expect("free"),
     );
@@ -145,18 +145,18 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn connections_end_that_were_not_used_for_long() {
+async fn connections_that_are_idle_for_long_are_closed() {
     let (_world, back_end, pool) = pool(Duration::ZERO);
     let acquire_request = AcquireRequest::internal();
     drop(
-        pool.acquire(&acquire_request, soon(50))
+        pool.acquire(&acquire_request, deadline_in(50))
             .await
             .expect("free"),
     );
     sleep(Duration::from_secs(1)).await;
     pool.close_expired();
     drop(
-        pool.acquire(&acquire_request, soon(50))
+        pool.acquire(&acquire_request, deadline_in(50))
             .await
             .expect("free"),
     );
@@ -164,7 +164,7 @@
     sleep(Duration::from_secs(3)).await;
     pool.close_expired();
     drop(
-        pool.acquire(&acquire_request, soon(50))
+        pool.acquire(&acquire_request, deadline_in(50))
             .await
             .expect("free"),
     );
@@ -172,12 +172,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_member_that_is_gone_is_told_at_once_after_the_first_try() {
+async fn an_unreachable_member_is_reported_without_a_new_attempt() {
     let (world, back_end, pool) = pool(Duration::ZERO);
     world.crash("a");
     let acquire_request = AcquireRequest::internal();
     for _ in 0..5 {
-        let refused = pool.acquire(&acquire_request, soon(50)).await;
+        let refused = pool.acquire(&acquire_request, deadline_in(50)).await;
         assert!(matches!(refused, Err(AcquireError::Unreachable(_))));
     }
     assert_eq!(opened(&back_end), 1);
@@ -201,11 +201,11 @@
 /// What waits for a connection is served by the rank of its route, then fairly between
 /// databases.
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_comes_back_goes_to_the_highest_rank() {
+async fn a_released_connection_goes_to_the_highest_rank() {
     let (_world, _back_end, pool) = pool(Duration::ZERO);
     pool.set_limit(1);
     let held = pool
-        .acquire(&AcquireRequest::internal(), soon(50))
+        .acquire(&AcquireRequest::internal(), deadline_in(50))
         .await
         .expect("free");
     let (sender, mut served) = tokio::sync::mpsc::unbounded_channel();
@@ -218,7 +218,7 @@
         let (pool, sender) = (Arc::clone(&pool), sender.clone());
         tokio::spawn(async move {
             let connection = pool
-                .acquire(&acquire_request, soon(500))
+                .acquire(&acquire_request, deadline_in(500))
                 .await
                 .expect("served");
             let _ = sender.send(database);
@@ -250,15 +250,15 @@
     let mut held = Vec::new();
     for _ in 0..3 {
         held.push(
-            pool.acquire(&acquire_request("one"), soon(50))
+            pool.acquire(&acquire_request("one"), deadline_in(50))
                 .await
                 .expect("room"),
         );
     }
     held.clear();
-    let refused = pool.acquire(&acquire_request("two"), soon(50)).await;
+    let refused = pool.acquire(&acquire_request("two"), deadline_in(50)).await;
     assert_eq!(refused.err(), Some(AcquireError::Exhausted));
-    let connection = pool.acquire(&acquire_request("two"), soon(50)).await;
+    let connection = pool.acquire(&acquire_request("two"), deadline_in(50)).await;
     assert!(connection.is_ok(), "{connection:?}");
     assert_eq!(world.open_connections("a"), 3);
 }
--- a/crates/engine/tests/rate.rs
+++ b/crates/engine/tests/rate.rs
@@ -24,7 +24,7 @@
     slack: 20.0,
 };
 /// Processes of a fleet that needs homes, in three zones.
-const LARGE: usize = 21;
+const LARGE_FLEET: usize = 21;
 const ZONES: &[&str] = &["zone-a", "zone-b", "zone-c"];
 const TENANT: &str = "busy";
 const KEY: &[u8] = b"key-busy";
@@ -43,13 +43,13 @@
     next
 }
 
-async fn fleet_with(nodes: usize, limit: RateLimit) -> Fleet {
+async fn start_fleet(nodes: usize, limit: RateLimit) -> Fleet {
     let policy = TenantPolicy {
         revocation: Duration::from_secs(5),
         rates: Some(BOUNDS),
     };
     let fleet = Fleet::start_with(ZONES, nodes, Some(policy)).await;
-    declare(&fleet, with_limit(2, limit)).await;
+    apply_configuration(&fleet, with_limit(2, limit)).await;
     let counted = |shard| fleet.records.get(&format!("lease/rate-{shard}")).is_some();
     until(|| (0..SHARD_COUNT).all(counted)).await;
     // Buckets fill up to what they hold.
@@ -57,7 +57,7 @@
     fleet
 }
 
-async fn declare(fleet: &Fleet, next: Configuration) {
+async fn apply_configuration(fleet: &Fleet, next: Configuration) {
     let version = next.version;
     fleet.configuration.send_replace(next);
     until(|| {
@@ -70,14 +70,14 @@
 }
 
 /// The processes that count a shard now.
-fn counters(fleet: &Fleet) -> Vec<usize> {
+fn counter_nodes(fleet: &Fleet) -> Vec<usize> {
     let lease = |shard: usize| {
         let record = fleet.records.get(&format!("lease/rate-{shard}"));
         let value = record.expect("a lease").value;
         String::from_utf8_lossy(&value).into_owned()
     };
     let leases: Vec<String> = (0..SHARD_COUNT).map(lease).collect();
-    let holds = |name: &str| {
+    let holds_lease = |name: &str| {
         let is_named = |lease: &String| {
             let mut matches = lease.match_indices(name);
             // "node-1" is not "node-11".
@@ -89,7 +89,7 @@
         leases.iter().any(is_named)
     };
     (0..fleet.nodes.len())
-        .filter(|node| holds(&fleet.nodes[*node].name))
+        .filter(|node| holds_lease(&fleet.nodes[*node].name))
         .collect()
 }
 
@@ -123,7 +123,7 @@
 
     fn start(&mut self, fleet: &Fleet, node: usize) {
         let engine = Arc::clone(&fleet.nodes[node].engine);
-        self.callers[node].spawn(ask_for_ever(engine, self.pause));
+        self.callers[node].spawn(request_continuously(engine, self.pause));
     }
 
     fn kill(&mut self, fleet: &mut Fleet, node: usize) {
@@ -132,7 +132,7 @@
     }
 }
 
-async fn ask_for_ever(engine: Arc<Engine>, pause: Duration) {
+async fn request_continuously(engine: Arc<Engine>, pause: Duration) {
     let mut asking = JoinSet::new();
     loop {
         let engine = Arc::clone(&engine);
@@ -151,32 +151,32 @@
 
 /// What strikes the fleet while a tenant asks for many times its limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Blow {
+enum Disruption {
     Nothing,
     CountersKilled,
     CountersFrozen,
     StoreLost,
     AllRestarted,
-    Lowered,
+    LimitLowered,
 }
 
 #[rstest]
-#[case::nothing(Blow::Nothing)]
-#[case::counters_killed(Blow::CountersKilled)]
-#[case::counters_frozen(Blow::CountersFrozen)]
-#[case::store_lost(Blow::StoreLost)]
-#[case::all_restarted(Blow::AllRestarted)]
-#[case::limit_lowered(Blow::Lowered)]
+#[case::nothing(Disruption::Nothing)]
+#[case::counters_killed(Disruption::CountersKilled)]
+#[case::counters_frozen(Disruption::CountersFrozen)]
+#[case::store_lost(Disruption::StoreLost)]
+#[case::all_restarted(Disruption::AllRestarted)]
+#[case::limit_lowered(Disruption::LimitLowered)]
 #[tokio::test(start_paused = true)]
-async fn no_window_exceeds_the_limit_by_more_than_it_may(#[case] blow: Blow) {
+async fn no_window_exceeds_the_limit_by_more_than_it_may(#[case] disruption: Disruption) {
     let limit = RateLimit {
         per_second: 30.0,
         burst: 30.0,
     };
-    let mut fleet = fleet_with(LARGE, limit).await;
+    let mut fleet = start_fleet(LARGE_FLEET, limit).await;
     let mut load = Load::spawn(&fleet, Duration::from_millis(150));
     sleep(Duration::from_secs(4)).await;
-    strike(&mut fleet, &mut load, blow).await;
+    disrupt(&mut fleet, &mut load, disruption).await;
     sleep(Duration::from_secs(8)).await;
     let runs = fleet.world.runs_of(TENANT);
     let busiest = busiest_window(&runs, BOUNDS.window);
@@ -187,16 +187,16 @@
     assert!(busiest as f64 > least, "{busiest} of {least}");
 }
 
-async fn strike(fleet: &mut Fleet, load: &mut Load, blow: Blow) {
-    match blow {
-        Blow::Nothing => {}
-        Blow::CountersKilled => {
-            for node in counters(fleet) {
+async fn disrupt(fleet: &mut Fleet, load: &mut Load, disruption: Disruption) {
+    match disruption {
+        Disruption::Nothing => {}
+        Disruption::CountersKilled => {
+            for node in counter_nodes(fleet) {
                 load.kill(fleet, node);
             }
         }
-        Blow::CountersFrozen => {
-            let frozen = counters(fleet);
+        Disruption::CountersFrozen => {
+            let frozen = counter_nodes(fleet);
             let names: Vec<String> = frozen
                 .iter()
                 .map(|node| fleet.nodes[*node].name.clone())
@@ -205,12 +205,12 @@
             sleep(Duration::from_secs(6)).await;
             names.iter().for_each(|name| fleet.freeze(name, false));
         }
-        Blow::StoreLost => {
+        Disruption::StoreLost => {
             fleet.records.set_fault(Fault::Refusing);
             sleep(Duration::from_secs(7)).await;
             fleet.records.set_fault(Fault::None);
         }
-        Blow::AllRestarted => {
+        Disruption::AllRestarted => {
             for node in 0..fleet.nodes.len() {
                 load.kill(fleet, node);
             }
@@ -220,13 +220,13 @@
                 load.start(fleet, node);
             }
         }
-        Blow::Lowered => {
+        Disruption::LimitLowered => {
             let lower = RateLimit {
                 per_second: 6.0,
                 burst: 6.0,
             };
             let lowered = Instant::now();
-            declare(fleet, with_limit(3, lower)).await;
+            apply_configuration(fleet, with_limit(3, lower)).await;
             // The time in which changes of the configuration may take, and a permit's life.
             sleep(Duration::from_millis(3_200)).await;
             let from = Instant::now();
@@ -252,9 +252,9 @@
         per_second: 32.0,
         burst: 32.0,
     };
-    let mut fleet = fleet_with(LARGE, limit).await;
-    let lost = counters(&fleet)[0];
-    let asking: Vec<usize> = (0..LARGE).filter(|node| *node != lost).collect();
+    let mut fleet = start_fleet(LARGE_FLEET, limit).await;
+    let lost = counter_nodes(&fleet)[0];
+    let asking: Vec<usize> = (0..LARGE_FLEET).filter(|node| *node != lost).collect();
     let mut refused = Vec::new();
     for round in 0..200 {
         if round == 40 && one_is_lost {
@@ -277,12 +277,12 @@
 
 /// Beyond the limit a request is refused at once, with the time to come back.
 #[tokio::test(start_paused = true)]
-async fn a_refusal_comes_at_once_and_tells_when_to_come_back() {
+async fn a_refusal_is_immediate_and_has_a_retry_time() {
     let limit = RateLimit {
         per_second: 3.0,
         burst: 3.0,
     };
-    let fleet = fleet_with(3, limit).await;
+    let fleet = start_fleet(3, limit).await;
     let credential = Some(Credential::from_key(KEY));
     let mut client = Client::open_with(&fleet.nodes[0].engine, LEADER_DATABASE, credential);
     for _ in 0..40 {
@@ -312,7 +312,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lower_share_holds_from_its_moment_on() {
+async fn a_lower_share_takes_effect_at_its_time() {
     let began = Instant::now();
     let mut bucket = TokenBucket::new(share(10.0, 10.0, 10.0), began);
     let lower_at = began + Duration::from_secs(4);
@@ -365,12 +365,17 @@
 
 /// The fleet's side of the sum, with counters that take over and permits that are used as late
 /// as they may be. What the buckets grant is asked for at every moment.
-fn busiest_of_model(limit: RateLimit, life: Duration, takeovers: &[u64], firsts: bool) -> f64 {
+fn busiest_window_of_model(
+    limit: RateLimit,
+    permit_lifetime: Duration,
+    takeovers: &[u64],
+    always_initial: bool,
+) -> f64 {
     let step = Duration::from_millis(5);
     let began = Instant::now();
     let window = BOUNDS.window;
     let shares = BOUNDS.share(limit);
-    let without_first = BucketShare {
+    let without_initial = BucketShare {
         initial: 0.0,
         ..shares
     };
@@ -382,22 +387,22 @@
         let now = began + step * u32::try_from(count).expect("small");
         if let Some(place) = takeovers.iter().position(|at| *at == count) {
             // Only the first of those that come together begins with tokens.
-            let begins_with = match place == 0 || firsts {
+            let new_share = match place == 0 || always_initial {
                 true => shares,
-                false => without_first,
+                false => without_initial,
             };
             buckets = (0..SHARD_COUNT)
-                .map(|_| TokenBucket::new(begins_with, now))
+                .map(|_| TokenBucket::new(new_share, now))
                 .collect();
         }
         // After a rest the tenant asks for all that there is; permits granted in the last
         // life are all used at its end.
-        let asks = count >= 1_600;
+        let is_requesting = count >= 1_600;
         for bucket in &mut buckets {
-            while asks && bucket.take(now).is_ok() {
-                let held_back = now < began + step * 1_600 + life;
+            while is_requesting && bucket.take(now).is_ok() {
+                let held_back = now < began + step * 1_600 + permit_lifetime;
                 runs.push(match held_back {
-                    true => now + life,
+                    true => now + permit_lifetime,
                     false => now,
                 });
             }
@@ -413,7 +418,7 @@
 #[case::large(196.0, 196.0)]
 fn the_sum_holds_with_takeovers_in_a_window(#[case] per_second: f64, #[case] burst: f64) {
     let limit = RateLimit { per_second, burst };
-    let busiest = busiest_of_model(
+    let busiest = busiest_window_of_model(
         limit,
         BOUNDS.permit_lifetime(),
         &[1_700, 1_900, 2_100],
@@ -427,13 +432,18 @@
 #[rstest]
 #[case::all_begin_with_tokens(true, 1)]
 #[case::permits_last_for_long(false, 12)]
-fn planted_mistakes_break_the_sum(#[case] firsts: bool, #[case] lives: u32) {
+fn injected_bugs_exceed_the_limit(#[case] always_initial: bool, #[case] lifetimes: u32) {
     let limit = RateLimit {
         per_second: 196.0,
         burst: 196.0,
     };
-    let life = BOUNDS.permit_lifetime() * lives;
-    let busiest = busiest_of_model(limit, life, &[1_700, 1_900, 2_100], firsts);
+    let permit_lifetime = BOUNDS.permit_lifetime() * lifetimes;
+    let busiest = busiest_window_of_model(
+        limit,
+        permit_lifetime,
+        &[1_700, 1_900, 2_100],
+        always_initial,
+    );
     assert!(busiest > BOUNDS.max_operations(limit), "{busiest}");
 }
 
@@ -444,22 +454,24 @@
 #[case::refused(false)]
 #[case::not_answered(true)]
 #[tokio::test(start_paused = true)]
-async fn counters_that_the_store_turns_away_are_replaced(#[case] silent: bool) {
+async fn counters_that_the_store_turns_away_are_replaced(#[case] is_silent: bool) {
     let limit = RateLimit {
         per_second: 90.0,
         burst: 90.0,
     };
-    let fleet = fleet_with(LARGE, limit).await;
-    let lost = counters(&fleet);
+    let fleet = start_fleet(LARGE_FLEET, limit).await;
+    let lost = counter_nodes(&fleet);
     assert_eq!(lost.len(), SHARD_COUNT);
     for node in &lost {
         let name = &fleet.nodes[*node].name;
-        match silent {
+        match is_silent {
             true => fleet.records.ignore_node(name),
             false => fleet.records.refuse_node(name, true),
         }
     }
-    let asking: Vec<usize> = (0..LARGE).filter(|node| !lost.contains(node)).collect();
+    let asking: Vec<usize> = (0..LARGE_FLEET)
+        .filter(|node| !lost.contains(node))
+        .collect();
     let mut unserved = Duration::ZERO;
     let mut last = Instant::now();
     for round in 0..300 {
--- a/crates/engine/tests/rate_partial.rs
+++ b/crates/engine/tests/rate_partial.rs
@@ -27,8 +27,8 @@
 };
 const ZONES: &[&str] = &["zone-a", "zone-b", "zone-c"];
 /// Processes, seven in each zone.
-const LARGE: usize = 21;
-const THIRD: usize = LARGE / 3;
+const LARGE_FLEET: usize = 21;
+const THIRD_OF_FLEET: usize = LARGE_FLEET / 3;
 const KEY: &[u8] = b"key-busy";
 /// Longest time in which an operation has its permit, or is refused, while counters are lost.
 const PERMIT_WAIT: Duration = Duration::from_millis(120);
@@ -42,12 +42,12 @@
 }
 
 /// A fleet whose counters have held their leases for longer than a window and a lease.
-async fn fleet() -> Fleet {
+async fn start_fleet() -> Fleet {
     let policy = TenantPolicy {
         revocation: Duration::from_secs(5),
         rates: Some(BOUNDS),
     };
-    let fleet = Fleet::start_with(ZONES, LARGE, Some(policy)).await;
+    let fleet = Fleet::start_with(ZONES, LARGE_FLEET, Some(policy)).await;
     let mut next = configuration(1);
     next.version = 2;
     next.tenants.insert("busy".into(), tenant());
@@ -69,14 +69,14 @@
 }
 
 /// A third of the processes, among them the counters of `shards` of the shards.
-fn a_third(fleet: &Fleet, shards: usize) -> Vec<usize> {
+fn third_of_fleet(fleet: &Fleet, shards: usize) -> Vec<usize> {
     let counters: Vec<usize> = (0..SHARD_COUNT)
         .filter_map(|s| counter_of(fleet, s))
         .collect();
     let mut third: Vec<usize> = counters[..shards].to_vec();
-    let others = (0..LARGE).filter(|node| !counters.contains(node));
+    let others = (0..LARGE_FLEET).filter(|node| !counters.contains(node));
     third.extend(others.step_by(2));
-    third.truncate(THIRD);
+    third.truncate(THIRD_OF_FLEET);
     third
 }
 
@@ -86,30 +86,30 @@
     Cut,
     Killed,
     Frozen,
-    TurnedAway,
+    RefusedByStore,
 }
 
-fn lose(fleet: &mut Fleet, lost: &[usize], loss: Loss) {
+fn inject_loss(fleet: &mut Fleet, lost: &[usize], loss: Loss) {
     for node in lost {
         let name = fleet.nodes[*node].name.clone();
         match loss {
-            Loss::Cut => cut(fleet, *node, lost),
+            Loss::Cut => isolate(fleet, *node, lost),
             Loss::Killed => fleet.kill(*node),
             Loss::Frozen => fleet.freeze(&name, true),
-            Loss::TurnedAway => fleet.records.refuse_node(&name, true),
+            Loss::RefusedByStore => fleet.records.refuse_node(&name, true),
         }
     }
 }
 
 /// Cuts a process from the store and from all others but those of `side`.
-fn cut(fleet: &Fleet, node: usize, side: &[usize]) {
+fn isolate(fleet: &Fleet, node: usize, side: &[usize]) {
     let name = &fleet.nodes[node].name;
     fleet.records.refuse_node(name, true);
     let others = (0..fleet.nodes.len()).filter(|other| !side.contains(other));
     others.for_each(|other| fleet.network().cut(name, &fleet.nodes[other].name));
 }
 
-fn heal(fleet: &Fleet, lost: &[usize]) {
+fn recover(fleet: &Fleet, lost: &[usize]) {
     fleet.network().heal();
     for node in lost {
         let name = &fleet.nodes[*node].name;
@@ -120,7 +120,7 @@
 
 /// What came of one operation that asked for a permit.
 #[derive(Debug)]
-struct Drawn {
+struct PermitOutcome {
     /// Since the load began.
     at: Duration,
     took: Duration,
@@ -128,7 +128,7 @@
 }
 
 /// Operations at `nodes` in turn, at five eighths of the limit, for `time`.
-async fn usual_load(fleet: &Fleet, nodes: &[usize], time: Duration) -> Vec<Drawn> {
+async fn run_normal_load(fleet: &Fleet, nodes: &[usize], time: Duration) -> Vec<PermitOutcome> {
     let pause = Duration::from_secs(1).div_f64(LIMIT.per_second * 0.625);
     let began = Instant::now();
     let mut asking = JoinSet::new();
@@ -142,82 +142,104 @@
         asking.spawn(async move {
             let asked = Instant::now();
             let deadline = asked + Duration::from_secs(1);
-            let drawn = permit::acquire(&engine, &tenant(), deadline).await;
-            Drawn {
+            let outcomes = permit::acquire(&engine, &tenant(), deadline).await;
+            PermitOutcome {
                 at,
                 took: asked.elapsed(),
-                refusal: drawn.err().map(|failure| failure.reason),
+                refusal: outcomes.err().map(|failure| failure.reason),
             }
         });
     }
     asking.join_all().await
 }
 
-fn count(drawn: &[Drawn], reason: FailureReason) -> usize {
-    let refused = drawn.iter().filter_map(|one| one.refusal.as_ref());
+fn count(outcomes: &[PermitOutcome], reason: FailureReason) -> usize {
+    let refused = outcomes.iter().filter_map(|one| one.refusal.as_ref());
     refused.filter(|refusal| **refusal == reason).count()
 }
 
 /// Time for which buckets and successors serve a tenant at five eighths of its limit while half
 /// of the counters are lost, though zones ask their own counters first.
-const BRIDGED: Duration = Duration::from_secs(3);
+const COVERED_TIME: Duration = Duration::from_secs(3);
 
 /// A third of the fleet is lost, with half of the counters, or two of three where there are
 /// three: whoever is at the others has its permits in time, and hardly misses any until the
 /// leases have lapsed.
 #[rstest]
-#[case::cut(Loss::Cut)]
+#[case::isolate(Loss::Cut)]
 #[case::killed(Loss::Killed)]
 #[case::frozen(Loss::Frozen)]
-#[case::turned_away_by_the_store(Loss::TurnedAway)]
+#[case::turned_away_by_the_store(Loss::RefusedByStore)]
 #[tokio::test(start_paused = true)]
-async fn nobody_waits_for_counters_that_are_lost(#[case] loss: Loss) {
-    let mut fleet = fleet().await;
-    let lost = a_third(&fleet, SHARD_COUNT.div_ceil(2));
-    lose(&mut fleet, &lost, loss);
-    let left: Vec<usize> = (0..LARGE).filter(|node| !lost.contains(node)).collect();
-    let drawn = usual_load(&fleet, &left, Duration::from_secs(9)).await;
-    assert_eq!(count(&drawn, FailureReason::RateUnknown), 0, "{drawn:?}");
-    let refused: Vec<&Drawn> = drawn.iter().filter(|one| one.refusal.is_some()).collect();
-    let early = refused.iter().filter(|one| one.at < BRIDGED);
+async fn lost_counters_delay_no_permit(#[case] loss: Loss) {
+    let mut fleet = start_fleet().await;
+    let lost = third_of_fleet(&fleet, SHARD_COUNT.div_ceil(2));
+    inject_loss(&mut fleet, &lost, loss);
+    let left: Vec<usize> = (0..LARGE_FLEET)
+        .filter(|node| !lost.contains(node))
+        .collect();
+    let outcomes = run_normal_load(&fleet, &left, Duration::from_secs(9)).await;
+    assert_eq!(
+        count(&outcomes, FailureReason::RateUnknown),
+        0,
+        "{outcomes:?}"
+    );
+    let refused: Vec<&PermitOutcome> = outcomes
+        .iter()
+        .filter(|one| one.refusal.is_some())
+        .collect();
+    let early = refused.iter().filter(|one| one.at < COVERED_TIME);
     assert_eq!(early.count(), 0, "{refused:?}");
-    assert!(refused.len() <= drawn.len() / 20, "{refused:?}");
-    let slow: Vec<&Drawn> = drawn.iter().filter(|one| one.took > PERMIT_WAIT).collect();
+    assert!(refused.len() <= outcomes.len() / 20, "{refused:?}");
+    let slow: Vec<&PermitOutcome> = outcomes
+        .iter()
+        .filter(|one| one.took > PERMIT_WAIT)
+        .collect();
     assert!(slow.is_empty(), "{slow:?}");
 }
 
 /// A zone of three is lost: a tenant at five eighths of its limit misses nothing.
 #[rstest]
-#[case::cut(Loss::Cut)]
+#[case::isolate(Loss::Cut)]
 #[case::killed(Loss::Killed)]
 #[case::frozen(Loss::Frozen)]
 #[tokio::test(start_paused = true)]
-async fn a_zone_that_is_lost_costs_nobody_a_permit(#[case] loss: Loss) {
-    let mut fleet = fleet().await;
-    let lost: Vec<usize> = (0..LARGE).step_by(ZONES.len()).collect();
-    lose(&mut fleet, &lost, loss);
-    let left: Vec<usize> = (0..LARGE).filter(|node| !lost.contains(node)).collect();
-    let drawn = usual_load(&fleet, &left, Duration::from_secs(12)).await;
-    let refused: Vec<&Drawn> = drawn.iter().filter(|one| one.refusal.is_some()).collect();
+async fn the_loss_of_a_zone_causes_no_refusal(#[case] loss: Loss) {
+    let mut fleet = start_fleet().await;
+    let lost: Vec<usize> = (0..LARGE_FLEET).step_by(ZONES.len()).collect();
+    inject_loss(&mut fleet, &lost, loss);
+    let left: Vec<usize> = (0..LARGE_FLEET)
+        .filter(|node| !lost.contains(node))
+        .collect();
+    let outcomes = run_normal_load(&fleet, &left, Duration::from_secs(12)).await;
+    let refused: Vec<&PermitOutcome> = outcomes
+        .iter()
+        .filter(|one| one.refusal.is_some())
+        .collect();
     assert!(refused.is_empty(), "{refused:?}");
-    let slow: Vec<&Drawn> = drawn.iter().filter(|one| one.took > PERMIT_WAIT).collect();
+    let slow: Vec<&PermitOutcome> = outcomes
+        .iter()
+        .filter(|one| one.took > PERMIT_WAIT)
+        .collect();
     assert!(slow.is_empty(), "{slow:?}");
 }
 
 /// All counters are lost at once: their successors grant what buckets begin with within a
 /// second, long before the leases have lapsed.
 #[rstest]
-#[case::cut(Loss::Cut)]
+#[case::isolate(Loss::Cut)]
 #[case::killed(Loss::Killed)]
 #[case::frozen(Loss::Frozen)]
 #[tokio::test(start_paused = true)]
-async fn successors_grant_within_a_second(#[case] loss: Loss) {
-    let mut fleet = fleet().await;
-    let lost = a_third(&fleet, SHARD_COUNT);
-    lose(&mut fleet, &lost, loss);
-    let left: Vec<usize> = (0..LARGE).filter(|node| !lost.contains(node)).collect();
-    let drawn = usual_load(&fleet, &left, Duration::from_millis(2_000)).await;
-    let (early, later): (Vec<Drawn>, Vec<Drawn>) = drawn
+async fn new_counters_grant_initial_tokens_within_a_second(#[case] loss: Loss) {
+    let mut fleet = start_fleet().await;
+    let lost = third_of_fleet(&fleet, SHARD_COUNT);
+    inject_loss(&mut fleet, &lost, loss);
+    let left: Vec<usize> = (0..LARGE_FLEET)
+        .filter(|node| !lost.contains(node))
+        .collect();
+    let outcomes = run_normal_load(&fleet, &left, Duration::from_millis(2_000)).await;
+    let (early, later): (Vec<PermitOutcome>, Vec<PermitOutcome>) = outcomes
         .into_iter()
         .partition(|one| one.at < Duration::from_secs(1));
     assert_eq!(count(&later, FailureReason::RateUnknown), 0, "{later:?}");
@@ -231,12 +253,12 @@
 /// A counter that is lost has a successor once its lease has lapsed, though nobody asks for
 /// permits: the candidates are told of each renewal.
 #[tokio::test(start_paused = true)]
-async fn successors_come_though_nobody_asks() {
-    let mut fleet = fleet().await;
+async fn a_lost_counter_is_replaced_without_requests() {
+    let mut fleet = start_fleet().await;
     let lost = counter_of(&fleet, 0).expect("a counter");
     fleet.kill(lost);
     sleep(Duration::from_millis(6_000)).await;
-    let mut left = (0..LARGE).filter(|node| *node != lost);
+    let mut left = (0..LARGE_FLEET).filter(|node| *node != lost);
     let counts = |node: usize| {
         let mut counted = fleet.nodes[node].engine.counters().counted_shards();
         counted.any(|shard| shard == 0)
@@ -246,8 +268,8 @@
 
 /// No process is to count two shards, so that the loss of one costs no more than a sixth.
 #[tokio::test(start_paused = true)]
-async fn each_shard_has_a_counter_of_its_own() {
-    let fleet = fleet().await;
+async fn each_shard_has_its_own_counter() {
+    let fleet = start_fleet().await;
     let mut counters: Vec<usize> = (0..SHARD_COUNT)
         .filter_map(|s| counter_of(&fleet, s))
         .collect();
@@ -263,13 +285,13 @@
 /// A process that is cut off knows no leader. That is what its callers are told, not that no
 /// counter answers, which nobody has had time to find out.
 #[tokio::test(start_paused = true)]
-async fn a_process_without_a_leader_draws_no_permit() {
-    let fleet = fleet().await;
+async fn a_process_without_a_leader_reports_that_before_requesting_a_permit() {
+    let fleet = start_fleet().await;
     let engine = &fleet.nodes[0].engine;
     let credential = Some(Credential::from_key(KEY));
     let mut client = Client::open_with(engine, LEADER_DATABASE, credential);
     assert!(client.read("x").await.outcome.is_ok());
-    cut(&fleet, 0, &[0]);
+    isolate(&fleet, 0, &[0]);
     for member in ["a", "b", "c"] {
         fleet.network().cut(&fleet.nodes[0].name, member);
     }
@@ -280,11 +302,11 @@
 
 /// Callers read milliseconds: the shortest wait that a refusal tells is one.
 #[tokio::test(start_paused = true)]
-async fn a_refusal_never_tells_callers_to_come_back_at_once() {
-    let fleet = fleet().await;
+async fn the_retry_time_is_at_least_a_millisecond() {
+    let fleet = start_fleet().await;
     let mut told = Vec::new();
     for round in 0..2_000 {
-        let engine = &fleet.nodes[round % LARGE].engine;
+        let engine = &fleet.nodes[round % LARGE_FLEET].engine;
         let deadline = Instant::now() + Duration::from_secs(1);
         if let Err(failure) = permit::acquire(engine, &tenant(), deadline).await {
             told.push(failure.retry_after.expect("a time to come back"));
@@ -312,12 +334,12 @@
 }
 
 /// Asks for permits all the time, as long as the process is not frozen.
-async fn ask_for_ever(engine: Arc<Engine>, granted: Arc<Mutex<Vec<Instant>>>) {
+async fn request_continuously(engine: Arc<Engine>, granted: Arc<Mutex<Vec<Instant>>>) {
     loop {
         let deadline = Instant::now() + Duration::from_secs(1);
-        let drawn = permit::acquire(&engine, &tenant(), deadline).await;
+        let outcomes = permit::acquire(&engine, &tenant(), deadline).await;
         let now = Instant::now();
-        if drawn.is_ok_and(|permit| permit.is_valid(now)) {
+        if outcomes.is_ok_and(|permit| permit.is_valid(now)) {
             granted.lock().unwrap().push(now);
         }
         sleep(Duration::from_millis(30)).await;
@@ -329,23 +351,26 @@
 #[rstest]
 #[case::cut_and_healed(Loss::Cut, 1)]
 #[case::frozen_and_thawed(Loss::Frozen, 1)]
-#[case::turned_away(Loss::TurnedAway, 1)]
+#[case::turned_away(Loss::RefusedByStore, 1)]
 #[case::cut_twice(Loss::Cut, 2)]
 #[case::frozen_three_times(Loss::Frozen, 3)]
 #[tokio::test(start_paused = true)]
 async fn both_sides_together_keep_to_the_bound(#[case] loss: Loss, #[case] times: usize) {
-    let mut fleet = fleet().await;
+    let mut fleet = start_fleet().await;
     let granted = Arc::new(Mutex::new(Vec::new()));
     let mut asking = JoinSet::new();
     for node in &fleet.nodes {
-        asking.spawn(ask_for_ever(Arc::clone(&node.engine), Arc::clone(&granted)));
+        asking.spawn(request_continuously(
+            Arc::clone(&node.engine),
+            Arc::clone(&granted),
+        ));
     }
     sleep(Duration::from_secs(2)).await;
     for _ in 0..times {
-        let lost = a_third(&fleet, SHARD_COUNT.div_ceil(2));
-        lose(&mut fleet, &lost, loss);
+        let lost = third_of_fleet(&fleet, SHARD_COUNT.div_ceil(2));
+        inject_loss(&mut fleet, &lost, loss);
         sleep(Duration::from_millis(2_500)).await;
-        heal(&fleet, &lost);
+        recover(&fleet, &lost);
         sleep(Duration::from_millis(400)).await;
     }
     sleep(Duration::from_secs(8)).await;
@@ -357,24 +382,24 @@
 
 /// What a model of the takeovers gets wrong.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Mistake {
+enum InjectedBug {
     None,
     /// A successor's buckets are filled before the lease before has lapsed.
-    FillsAtOnce,
+    RefillsImmediately,
     /// Each successor begins with tokens, however short the one before has counted.
-    AlwaysBeginsWithTokens,
+    AlwaysInitialTokens,
     /// A successor begins with tokens a window after the one before did.
-    BeginsWithTokensAfterAWindow,
+    InitialTokensAfterWindow,
 }
 
 /// How long nobody asks, so that buckets are full.
-const REST: Duration = Duration::from_millis(3_900);
+const IDLE_TIME: Duration = Duration::from_millis(3_900);
 /// How long the counter that was replaced goes on, from the takeover.
-const LEASE_LEFT: Duration = Duration::from_millis(5_200);
+const REMAINING_LEASE: Duration = Duration::from_millis(5_200);
 
 /// Most grants of a window where each shard is taken over at each of `takeovers`, and whoever
 /// was replaced goes on granting until its lease ends. All that is granted is used at once.
-fn busiest_of_model(limit: RateLimit, takeovers: &[Duration], mistake: Mistake) -> usize {
+fn busiest_window_of_model(limit: RateLimit, takeovers: &[Duration], bug: InjectedBug) -> usize {
     let began = Instant::now();
     let share = BOUNDS.share(limit);
     let mut granted = Vec::new();
@@ -384,29 +409,29 @@
         for step in 0..2_000_u32 {
             let now = began + Duration::from_millis(10) * step;
             if takeovers.contains(&(now - began)) {
-                let end = now + LEASE_LEFT;
+                let end = now + REMAINING_LEASE;
                 let (_, until) = buckets.last_mut().expect("one counts");
                 *until = Some(end);
-                let least = match mistake {
-                    Mistake::AlwaysBeginsWithTokens => Duration::ZERO,
-                    Mistake::BeginsWithTokensAfterAWindow => BOUNDS.window,
-                    _ => BOUNDS.window + LEASE_LEFT,
+                let least = match bug {
+                    InjectedBug::AlwaysInitialTokens => Duration::ZERO,
+                    InjectedBug::InitialTokensAfterWindow => BOUNDS.window,
+                    _ => BOUNDS.window + REMAINING_LEASE,
                 };
                 // The first counters have counted for long.
-                let has_first = now - counts_since >= least || counts_since == began;
+                let has_initial = now - counts_since >= least || counts_since == began;
                 counts_since = now;
-                let begins_with = BucketShare {
-                    initial: if has_first { share.initial } else { 0.0 },
+                let new_share = BucketShare {
+                    initial: if has_initial { share.initial } else { 0.0 },
                     ..share
                 };
-                let fills_from = match mistake {
-                    Mistake::FillsAtOnce => now,
+                let fills_from = match bug {
+                    InjectedBug::RefillsImmediately => now,
                     _ => end,
                 };
-                buckets.push((TokenBucket::new(begins_with, fills_from), None));
+                buckets.push((TokenBucket::new(new_share, fills_from), None));
             }
             for (bucket, until) in &mut buckets {
-                let grants = now >= began + REST && until.is_none_or(|until| now < until);
+                let grants = now >= began + IDLE_TIME && until.is_none_or(|until| now < until);
                 if grants {
                     while bucket.take(now).is_ok() {
                         granted.push(now);
@@ -434,46 +459,46 @@
     /// holds.
     #[test]
     fn the_sum_holds_with_takeovers_before_leases_lapse(
-        moments in prop::collection::btree_set(1_u64..1_600, 0..6),
+        steps in prop::collection::btree_set(1_u64..1_600, 0..6),
         per_second in 1_f64..200.0,
         seconds_of_burst in 0.2_f64..3.0,
     ) {
         let takeovers: Vec<Duration> =
-            moments.into_iter().map(|moment| Duration::from_millis(moment * 10)).collect();
+            steps.into_iter().map(|step| Duration::from_millis(step * 10)).collect();
         let burst = per_second * seconds_of_burst;
         let limit = RateLimit { per_second, burst };
-        let busiest = busiest_of_model(limit, &takeovers, Mistake::None);
+        let busiest = busiest_window_of_model(limit, &takeovers, InjectedBug::None);
         prop_assert!(busiest as f64 <= BOUNDS.max_operations(limit), "{busiest}");
     }
 }
 
 /// Mistakes that the sum must show.
 #[rstest]
-#[case::buckets_that_fill_at_once(Mistake::FillsAtOnce)]
-#[case::successors_that_all_begin_with_tokens(Mistake::AlwaysBeginsWithTokens)]
-#[case::successors_a_window_apart(Mistake::BeginsWithTokensAfterAWindow)]
-fn planted_mistakes_of_successors_break_the_sum(#[case] mistake: Mistake) {
-    let takeovers = match mistake {
-        Mistake::BeginsWithTokensAfterAWindow => vec![1_000, 6_100, 11_200],
+#[case::buckets_that_fill_at_once(InjectedBug::RefillsImmediately)]
+#[case::successors_that_all_begin_with_tokens(InjectedBug::AlwaysInitialTokens)]
+#[case::successors_a_window_apart(InjectedBug::InitialTokensAfterWindow)]
+fn injected_bugs_in_takeovers_exceed_the_limit(#[case] bug: InjectedBug) {
+    let takeovers = match bug {
+        InjectedBug::InitialTokensAfterWindow => vec![1_000, 6_100, 11_200],
         _ => vec![4_000, 6_000, 8_000],
     };
     let takeovers: Vec<Duration> = takeovers.into_iter().map(Duration::from_millis).collect();
-    let busiest = busiest_of_model(MODEL_LIMIT, &takeovers, mistake);
+    let busiest = busiest_window_of_model(MODEL_LIMIT, &takeovers, bug);
     assert!(
         busiest as f64 > BOUNDS.max_operations(MODEL_LIMIT),
         "{busiest}"
     );
-    let sound = busiest_of_model(MODEL_LIMIT, &takeovers, Mistake::None);
+    let without_bug = busiest_window_of_model(MODEL_LIMIT, &takeovers, InjectedBug::None);
     assert!(
-        sound as f64 <= BOUNDS.max_operations(MODEL_LIMIT),
-        "{sound}"
+        without_bug as f64 <= BOUNDS.max_operations(MODEL_LIMIT),
+        "{without_bug}"
     );
 }
 
 /// A bucket that is not filled yet grants what it begins with, and tells of the time until it
 /// is filled.
 #[tokio::test(start_paused = true)]
-async fn a_bucket_that_fills_later_grants_what_it_begins_with() {
+async fn initial_tokens_are_available_before_the_refill_starts() {
     let share = BucketShare {
         per_second: 10.0,
         capacity: 5.0,
--- a/crates/engine/tests/regions.rs
+++ b/crates/engine/tests/regions.rs
@@ -40,13 +40,13 @@
     of_zone.iter().map(names).collect()
 }
 
-async fn fleet() -> Fleet {
+async fn start_fleet() -> Fleet {
     Fleet::start_in_regions(ZONES, ZONES.len(), None, regions).await
 }
 
 /// The servers that run 40 bounded reads of one process, a tenth of a second apart: what is
 /// known of the others is forgotten meanwhile.
-async fn readers(fleet: &Fleet, node: usize) -> BTreeSet<String> {
+async fn read_servers(fleet: &Fleet, node: usize) -> BTreeSet<String> {
     let mut client = fleet.session(node, BOUNDED_DATABASE);
     let mut servers = BTreeSet::new();
     for _ in 0..40 {
@@ -63,12 +63,12 @@
 #[case::in_the_leaders_region(1, &["a", "b"])]
 #[tokio::test(start_paused = true)]
 async fn reads_stay_in_the_region(#[case] node: usize, #[case] allowed: &[&str]) {
-    let fleet = fleet().await;
+    let fleet = start_fleet().await;
     // Slower than is assumed of members of which nothing is known, so that these look better.
     for server in ["a", "b", "c"] {
         fleet.world.change(server, |server| server.slowness = 8);
     }
-    let servers = readers(&fleet, node).await;
+    let servers = read_servers(&fleet, node).await;
     let outside = servers
         .iter()
         .any(|server| !allowed.contains(&server.as_str()));
@@ -78,9 +78,9 @@
 /// The member of the region answers late: reads in the region's other zone go elsewhere.
 #[tokio::test(start_paused = true)]
 async fn reads_leave_the_region_where_its_members_are_slow() {
-    let fleet = fleet().await;
+    let fleet = start_fleet().await;
     fleet.world.change("c", |server| server.slowness = 60);
-    let servers = readers(&fleet, 3).await;
+    let servers = read_servers(&fleet, 3).await;
     assert!(
         servers.contains("a") || servers.contains("b"),
         "{servers:?}"
@@ -91,10 +91,10 @@
 #[case::refuses(|server: &mut support::servers::Server| server.busy = true)]
 #[case::is_silent(|server: &mut support::servers::Server| server.dark = true)]
 #[tokio::test(start_paused = true)]
-async fn a_read_leaves_the_region_where_its_only_member(
+async fn a_read_leaves_the_region_if_its_only_member(
     #[case] change: fn(&mut support::servers::Server),
 ) {
-    let fleet = fleet().await;
+    let fleet = start_fleet().await;
     let mut client = fleet.session(2, BOUNDED_DATABASE);
     assert_eq!(seen(&client.read("x").await).0, "c");
     fleet.world.change("c", change);
@@ -105,7 +105,7 @@
 /// refused as not run after that, and nobody is promoted.
 #[tokio::test(start_paused = true)]
 async fn a_region_that_is_cut_off_reads_on_for_a_while() {
-    let fleet = fleet().await;
+    let fleet = start_fleet().await;
     let mut northern = fleet.session(0, LEADER_DATABASE);
     let mut southern = fleet.session(2, BOUNDED_DATABASE);
     assert!(northern.write("x 1").await.outcome.is_ok());
@@ -154,7 +154,7 @@
 
 /// As many processes in each of `zones`.
 fn peers_in(zones: &[&str], count: usize) -> Vec<Peer> {
-    let places = zones
+    let ids = zones
         .iter()
         .flat_map(|zone| (0..count).map(move |n| (*zone, n)));
     let peer = |(index, (zone, n)): (usize, (&str, usize))| Peer {
@@ -163,7 +163,7 @@
         zone: Arc::from(zone),
         weight: 1.0,
     };
-    places.enumerate().map(peer).collect()
+    ids.enumerate().map(peer).collect()
 }
 
 fn topology() -> Topology {
@@ -172,7 +172,7 @@
 
 /// Twenty members of each zone: the last candidate is of the other zone of its region.
 #[test]
-fn the_candidate_outside_the_zone_is_of_the_region() {
+fn the_candidate_outside_the_zone_is_in_the_same_region() {
     let fleet = peers_in(ZONES, 6);
     for (zone, other) in [("zone-a", "zone-b"), ("zone-c", "zone-d")] {
         for number in 0..20 {
@@ -190,7 +190,7 @@
 /// A member whose region has no other zone has its last candidate elsewhere, and one whose
 /// region has no process is reached through others all the same.
 #[test]
-fn candidates_are_of_another_region_where_there_are_no_others() {
+fn candidates_come_from_another_region_if_necessary() {
     let fleet = peers_in(&["zone-a", "zone-c"], 6);
     let candidates = rank_by_region(&fleet, &member_in("zone-a"), &topology());
     assert_eq!(&*candidates[CANDIDATES_PER_MEMBER - 1].zone, "zone-c");
@@ -203,7 +203,7 @@
 /// replaced by another of the same region.
 #[tokio::test(start_paused = true)]
 async fn evidence_readers_are_in_the_region_of_the_members() {
-    let fleet = fleet().await;
+    let fleet = start_fleet().await;
     let homes = fleet.nodes[0].engine.homes();
     until(|| homes.fleet_len() == ZONES.len()).await;
     for (region, zones) in [("north", &ZONES[..2]), ("south", &ZONES[2..])] {
@@ -223,7 +223,7 @@
 #[case::a_longer_log_first(7, 8, MemberState::Ready, "c")]
 #[case::one_that_stays_first(7, 7, MemberState::Leaving(Departure::at(Instant::now())), "c")]
 #[tokio::test(start_paused = true)]
-async fn the_next_leader_is_of_the_old_ones_region_among_equals(
+async fn the_previous_leaders_region_breaks_ties_between_successors(
     #[case] northern: u64,
     #[case] southern: u64,
     #[case] northern_state: MemberState,
@@ -273,7 +273,7 @@
 
 /// Where there is one region, or none is known, candidates and costs are as without regions.
 #[test]
-fn one_region_changes_nothing() {
+fn a_single_region_has_no_effect() {
     let fleet = peers_in(ZONES, 6);
     let one = ZONES
         .iter()
--- a/crates/engine/tests/residency.rs
+++ b/crates/engine/tests/residency.rs
@@ -25,7 +25,7 @@
 use tokio::time::{Instant, sleep};
 
 /// Processes of a fleet that needs homes.
-const LARGE: usize = 20;
+const LARGE_FLEET: usize = 20;
 /// Zones of the processes; servers stand in `zone-a`, `zone-b` and `zone-c`.
 const ZONES: &[&str] = &["zone-a", "zone-b", "zone-c", "zone-d"];
 /// Zones of which the north has one only: the last candidate for its server is elsewhere.
@@ -51,14 +51,14 @@
 }
 
 /// The same, but for a zone of servers that every process takes for a northern one.
-fn regions_with_a_wrong_member(node: &str) -> HashMap<ZoneName, RegionName> {
+fn regions_with_misplaced_servers(node: &str) -> HashMap<ZoneName, RegionName> {
     let mut regions = regions(node);
     regions.insert(Arc::from("zone-c"), Arc::from("north"));
     regions
 }
 
 /// The same, but for a zone of processes only.
-fn regions_with_a_wrong_process(node: &str) -> HashMap<ZoneName, RegionName> {
+fn regions_with_misplaced_processes(node: &str) -> HashMap<ZoneName, RegionName> {
     let mut regions = regions(node);
     regions.insert(Arc::from("zone-d"), Arc::from("north"));
     regions
@@ -69,7 +69,7 @@
 }
 
 /// A configuration of `version` whose databases have these home regions.
-fn with_homes(version: u64, homes: &[(&str, &[&str])]) -> Configuration {
+fn with_home_regions(version: u64, homes: &[(&str, &[&str])]) -> Configuration {
     let mut next = Configuration {
         version,
         ..configuration(1)
@@ -85,17 +85,17 @@
 }
 
 /// All databases with the same home regions.
-fn all_in(version: u64, regions: &'static [&'static str]) -> Configuration {
+fn restrict_all_to(version: u64, regions: &'static [&'static str]) -> Configuration {
     let databases = [LEADER_DATABASE, BOUNDED_DATABASE, OWN_DATABASE];
-    with_homes(version, &databases.map(|database| (database, regions)))
+    with_home_regions(version, &databases.map(|database| (database, regions)))
 }
 
-async fn fleet_of(nodes: usize, next: Configuration) -> Fleet {
-    fleet_that_knows(ZONES, nodes, next, regions).await
+async fn start_fleet(nodes: usize, next: Configuration) -> Fleet {
+    start_fleet_with_regions(ZONES, nodes, next, regions).await
 }
 
 /// A fleet in `zones` whose processes are told `regions`, with the configuration `next`.
-async fn fleet_that_knows(
+async fn start_fleet_with_regions(
     zones: &'static [&'static str],
     nodes: usize,
     next: Configuration,
@@ -117,12 +117,12 @@
     .await;
     // Connections that were opened before the fleet was known have ended.
     sleep(Duration::from_secs(3)).await;
-    declare(&fleet, next).await;
+    apply_configuration(&fleet, next).await;
     fleet
 }
 
 /// Puts a configuration into the store and waits until every process uses it.
-async fn declare(fleet: &Fleet, next: Configuration) {
+async fn apply_configuration(fleet: &Fleet, next: Configuration) {
     let version = next.version;
     fleet.configuration.send_replace(next);
     let uses = |node: &Node| {
@@ -146,11 +146,11 @@
 }
 
 /// A statement and the process to which its caller was connected.
-type Asked = (usize, String);
+type SentStatement = (usize, String);
 
 /// Where statements that the north alone may see have been elsewhere: arrivals at servers, and
 /// frames to processes other than the one that was asked.
-fn outside(fleet: &Fleet, asked: &[Asked]) -> Vec<String> {
+fn residency_violations(fleet: &Fleet, asked: &[SentStatement]) -> Vec<String> {
     let zone_of = |name: &str| {
         let node = fleet.nodes.iter().find(|node| node.name == name);
         node.expect("a process").engine.settings().zone.clone()
@@ -167,7 +167,7 @@
 }
 
 /// Processes of southern zones, by their place in the fleet.
-fn southern(fleet: &Fleet) -> Vec<usize> {
+fn southern_nodes(fleet: &Fleet) -> Vec<usize> {
     let is_southern = |node: &Node| !is_northern(&node.engine.settings().zone);
     let nodes = fleet.nodes.iter().enumerate();
     let southern = nodes.filter(|(_, node)| is_southern(node));
@@ -185,22 +185,22 @@
 }
 
 /// A southern process that is a candidate for no server.
-fn southern_bystander(fleet: &Fleet) -> usize {
+fn southern_uninvolved_node(fleet: &Fleet) -> usize {
     let taken: Vec<usize> = ["a", "b", "c"]
         .iter()
         .flat_map(|name| candidates_of(fleet, name))
         .collect();
-    let mut southern = southern(fleet).into_iter();
-    let bystander = southern.find(|node| !taken.contains(node));
-    bystander.expect("one")
+    let mut southern = southern_nodes(fleet).into_iter();
+    let uninvolved = southern.find(|node| !taken.contains(node));
+    uninvolved.expect("one")
 }
 
 #[rstest]
 #[case::a_small_fleet(4)]
-#[case::a_large_fleet(LARGE)]
+#[case::a_large_fleet(LARGE_FLEET)]
 #[tokio::test(start_paused = true)]
 async fn statements_stay_in_the_home_region(#[case] nodes: usize) {
-    let fleet = fleet_of(nodes, all_in(2, NORTH)).await;
+    let fleet = start_fleet(nodes, restrict_all_to(2, NORTH)).await;
     let mut ids = Vec::new();
     for node in 0..nodes {
         for database in [LEADER_DATABASE, BOUNDED_DATABASE, OWN_DATABASE] {
@@ -215,12 +215,12 @@
             }
         }
     }
-    assert_eq!(outside(&fleet, &ids), Vec::<String>::new());
+    assert_eq!(residency_violations(&fleet, &ids), Vec::<String>::new());
 }
 
 #[tokio::test(start_paused = true)]
 async fn reads_go_to_the_only_member_of_a_home_region() {
-    let fleet = fleet_of(4, all_in(2, SOUTH)).await;
+    let fleet = start_fleet(4, restrict_all_to(2, SOUTH)).await;
     for node in 0..4 {
         let mut client = fleet.session(node, BOUNDED_DATABASE);
         assert_eq!(seen(&client.read("x").await).0, "c");
@@ -233,11 +233,11 @@
 #[case::a_read_of_the_leader(LEADER_DATABASE, read("x"))]
 #[case::a_write_where_replicas_read(OWN_DATABASE, write("x 1"))]
 #[tokio::test(start_paused = true)]
-async fn what_only_a_leader_elsewhere_can_run_is_refused_at_once(
+async fn statements_for_a_leader_elsewhere_are_refused_at_once(
     #[case] database: &str,
     #[case] statement: Statement,
 ) {
-    let fleet = fleet_of(4, all_in(2, SOUTH)).await;
+    let fleet = start_fleet(4, restrict_all_to(2, SOUTH)).await;
     let mut client = fleet.session(0, database);
     let asked = Instant::now();
     let (id, reply) = client.ask_as(statement.clone()).await;
@@ -253,9 +253,9 @@
 
 /// A region that no zone belongs to rules every member out, and nothing else is lost.
 #[tokio::test(start_paused = true)]
-async fn an_unknown_region_rules_out_its_own_database_only() {
+async fn an_unknown_region_affects_only_its_own_database() {
     let homes: &[(&str, &[&str])] = &[(BOUNDED_DATABASE, &["nowhere"])];
-    let fleet = fleet_of(4, with_homes(2, homes)).await;
+    let fleet = start_fleet(4, with_home_regions(2, homes)).await;
     let asked = Instant::now();
     let reply = fleet.session(0, BOUNDED_DATABASE).read("x").await;
     assert_eq!(reason(&reply), Some(FailureReason::OutsideHomeRegions));
@@ -270,12 +270,12 @@
 #[case::of_both(BOTH, SOUTH, Some(SOUTHERN))]
 #[case::that_no_region_meets(NORTH, SOUTH, None)]
 #[tokio::test(start_paused = true)]
-async fn the_regions_of_route_and_tenant_bind_together(
+async fn the_regions_of_route_and_tenant_are_intersected(
     #[case] route: &[&str],
     #[case] tenant: &[&str],
     #[case] allowed: Option<&[&str]>,
 ) {
-    let mut next = with_homes(2, &[(BOUNDED_DATABASE, route)]);
+    let mut next = with_home_regions(2, &[(BOUNDED_DATABASE, route)]);
     let credential = Credential::from_key(b"key");
     next.credentials.insert(credential, Arc::from("one"));
     let tenant = Tenant {
@@ -284,7 +284,7 @@
         residency: residency(tenant),
     };
     next.tenants.insert(Arc::from("one"), Arc::new(tenant));
-    let fleet = fleet_of(4, next).await;
+    let fleet = start_fleet(4, next).await;
     for node in &fleet.nodes {
         let mut client = Client::open_with(&node.engine, BOUNDED_DATABASE, Some(credential));
         let (id, reply) = client.ask_as(read("x")).await;
@@ -310,11 +310,11 @@
 /// A process that may pass nothing on connects itself.
 #[tokio::test(start_paused = true)]
 async fn no_candidate_elsewhere_follows_where_homes_are_lost() {
-    let next = all_in(2, NORTH);
-    let mut fleet = fleet_that_knows(ONE_NORTHERN_ZONE, LARGE, next, regions).await;
-    let node = southern_bystander(&fleet);
-    let northern: Vec<usize> = (0..LARGE)
-        .filter(|node| !southern(&fleet).contains(node))
+    let next = restrict_all_to(2, NORTH);
+    let mut fleet = start_fleet_with_regions(ONE_NORTHERN_ZONE, LARGE_FLEET, next, regions).await;
+    let node = southern_uninvolved_node(&fleet);
+    let northern: Vec<usize> = (0..LARGE_FLEET)
+        .filter(|node| !southern_nodes(&fleet).contains(node))
         .collect();
     northern.into_iter().for_each(|node| fleet.kill(node));
     let mut client = fleet.session(node, LEADER_DATABASE);
@@ -326,20 +326,20 @@
         ids.push((node, id));
     }
     assert!(completed >= 18, "{completed}");
-    assert_eq!(outside(&fleet, &ids), Vec::<String>::new());
+    assert_eq!(residency_violations(&fleet, &ids), Vec::<String>::new());
     for member in NORTHERN {
-        assert!(fleet.world.open_connections(member) <= 2 * LARGE);
+        assert!(fleet.world.open_connections(member) <= 2 * LARGE_FLEET);
     }
 }
 
 /// Each candidate in the home region knows nothing of the member yet: a statement goes from one
 /// to the next, and not on to the one elsewhere.
 #[tokio::test(start_paused = true)]
-async fn homes_that_do_not_know_the_member_are_not_followed_by_one_elsewhere() {
-    let next = all_in(2, NORTH);
-    let fleet = fleet_that_knows(ONE_NORTHERN_ZONE, LARGE, next, regions).await;
-    let node = southern_bystander(&fleet);
-    let southern = southern(&fleet);
+async fn no_candidate_elsewhere_replaces_homes_that_lack_the_member() {
+    let next = restrict_all_to(2, NORTH);
+    let fleet = start_fleet_with_regions(ONE_NORTHERN_ZONE, LARGE_FLEET, next, regions).await;
+    let node = southern_uninvolved_node(&fleet);
+    let southern = southern_nodes(&fleet);
     let candidates = candidates_of(&fleet, "a");
     let (elsewhere, northern): (Vec<usize>, Vec<usize>) = candidates
         .iter()
@@ -359,25 +359,28 @@
     let asked = fleet.peers.processes_passed(&id);
     // One may have been passed over before, for a question of the process itself.
     assert!(asked.len() > 1, "{asked:?}");
-    assert_eq!(outside(&fleet, &[(node, id)]), Vec::<String>::new());
+    assert_eq!(
+        residency_violations(&fleet, &[(node, id)]),
+        Vec::<String>::new()
+    );
 }
 
 /// A session is open: its next statement goes by the newest regions, wherever it stands.
 #[tokio::test(start_paused = true)]
 async fn a_change_binds_open_sessions() {
-    let fleet = fleet_of(LARGE, all_in(2, SOUTH)).await;
-    let node = southern_bystander(&fleet);
+    let fleet = start_fleet(LARGE_FLEET, restrict_all_to(2, SOUTH)).await;
+    let node = southern_uninvolved_node(&fleet);
     let mut client = fleet.session(node, BOUNDED_DATABASE);
     assert_eq!(seen(&client.read("x").await).0, "c");
-    declare(&fleet, all_in(3, NORTH)).await;
+    apply_configuration(&fleet, restrict_all_to(3, NORTH)).await;
     let mut ids = Vec::new();
     for _ in 0..5 {
         let (id, reply) = client.ask_as(read("x")).await;
         assert!(reply.outcome.is_ok(), "{reply:?}");
         ids.push((node, id));
     }
-    assert_eq!(outside(&fleet, &ids), Vec::<String>::new());
-    declare(&fleet, all_in(4, BOTH)).await;
+    assert_eq!(residency_violations(&fleet, &ids), Vec::<String>::new());
+    apply_configuration(&fleet, restrict_all_to(4, BOTH)).await;
     assert!(client.read("x").await.outcome.is_ok());
 }
 
@@ -388,13 +391,13 @@
 #[tokio::test(start_paused = true)]
 async fn an_open_transaction_ends_where_its_region_is_taken_away(
     #[case] next: Statement,
-    #[values(4, LARGE)] nodes: usize,
+    #[values(4, LARGE_FLEET)] nodes: usize,
 ) {
-    let fleet = fleet_of(nodes, all_in(2, BOTH)).await;
+    let fleet = start_fleet(nodes, restrict_all_to(2, BOTH)).await;
     let mut client = fleet.session(nodes - 1, LEADER_DATABASE);
     client.begin(false).await;
     assert!(client.write("x 1").await.outcome.is_ok());
-    declare(&fleet, all_in(3, SOUTH)).await;
+    apply_configuration(&fleet, restrict_all_to(3, SOUTH)).await;
     // It is not sent where the transaction is still open.
     client.set("region", "south").await;
     let (id, reply) = client.ask_as(next).await;
@@ -404,7 +407,7 @@
         assert!(client.rollback().await.outcome.is_ok());
     }
     assert_eq!(client.session.state(), TransactionState::Idle);
-    declare(&fleet, all_in(4, BOTH)).await;
+    apply_configuration(&fleet, restrict_all_to(4, BOTH)).await;
     let (_, commits) = seen(&client.read("x").await);
     assert_eq!(commits, 0, "the write was rolled back");
 }
@@ -412,18 +415,18 @@
 /// The member stays allowed, and the processes that the transaction may have gone through
 /// do not.
 #[tokio::test(start_paused = true)]
-async fn an_open_transaction_ends_where_it_may_have_passed_a_region_taken_away() {
-    let fleet = fleet_of(LARGE, all_in(2, BOTH)).await;
-    let mut client = fleet.session(southern_bystander(&fleet), LEADER_DATABASE);
+async fn an_open_transaction_ends_if_its_homes_are_no_longer_allowed() {
+    let fleet = start_fleet(LARGE_FLEET, restrict_all_to(2, BOTH)).await;
+    let mut client = fleet.session(southern_uninvolved_node(&fleet), LEADER_DATABASE);
     client.begin(false).await;
     assert!(client.write("x 1").await.outcome.is_ok());
-    declare(&fleet, all_in(3, NORTH)).await;
+    apply_configuration(&fleet, restrict_all_to(3, NORTH)).await;
     let reply = client.read("x").await;
     assert_eq!(reason(&reply), Some(FailureReason::OutsideHomeRegions));
 }
 
 /// Opens transactions at `client`'s process until a read there has to wait; returns them.
-async fn fill(fleet: &Fleet, node: usize) -> Vec<Client> {
+async fn use_all_connections(fleet: &Fleet, node: usize) -> Vec<Client> {
     let mut open = Vec::new();
     for _ in 0..64 {
         let mut client = fleet.session(node, BOUNDED_DATABASE);
@@ -439,17 +442,17 @@
 /// A statement waits for a connection, here or at a home, while the regions change.
 #[rstest]
 #[case::here(4)]
-#[case::at_a_home(LARGE)]
+#[case::at_a_home(LARGE_FLEET)]
 #[tokio::test(start_paused = true)]
 async fn a_statement_that_waits_is_not_sent_where_its_region_is_taken_away(#[case] nodes: usize) {
-    let fleet = fleet_of(nodes, all_in(2, SOUTH)).await;
+    let fleet = start_fleet(nodes, restrict_all_to(2, SOUTH)).await;
     let node = 0;
-    let open = fill(&fleet, node).await;
+    let open = use_all_connections(&fleet, node).await;
     let mut client = fleet.session(node, BOUNDED_DATABASE);
     let waiting = tokio::spawn(async move { client.ask_as(read("x")).await });
     sleep(Duration::from_millis(40)).await;
     assert!(!waiting.is_finished());
-    declare(&fleet, all_in(3, NORTH)).await;
+    apply_configuration(&fleet, restrict_all_to(3, NORTH)).await;
     drop(open);
     let (id, reply) = waiting.await.expect("a reply");
     assert!(reply.outcome.is_ok(), "{reply:?}");
@@ -464,47 +467,47 @@
 
 /// All processes end and start anew: the regions are in the configuration, and nothing else.
 #[tokio::test(start_paused = true)]
-async fn statements_stay_in_the_home_region_after_a_restart_of_all() {
-    let mut fleet = fleet_of(LARGE, all_in(2, NORTH)).await;
-    (0..LARGE).for_each(|node| fleet.kill(node));
+async fn statements_stay_in_the_home_region_after_a_fleet_restart() {
+    let mut fleet = start_fleet(LARGE_FLEET, restrict_all_to(2, NORTH)).await;
+    (0..LARGE_FLEET).for_each(|node| fleet.kill(node));
     sleep(Duration::from_secs(2)).await;
     let names: Vec<String> = fleet.nodes.iter().map(|node| node.name.clone()).collect();
     fleet.nodes = names.iter().map(|name| fleet.respawn_node(name)).collect();
     sleep(Duration::from_secs(5)).await;
     let mut ids = Vec::new();
-    for node in 0..LARGE {
+    for node in 0..LARGE_FLEET {
         let mut client = fleet.session(node, BOUNDED_DATABASE);
         let (id, reply) = client.ask_as(read("x")).await;
         assert!(reply.outcome.is_ok(), "{reply:?}");
         ids.push((node, id));
     }
-    assert_eq!(outside(&fleet, &ids), Vec::<String>::new());
+    assert_eq!(residency_violations(&fleet, &ids), Vec::<String>::new());
 }
 
 /// The store is silent: processes go on with the regions that they know.
 #[tokio::test(start_paused = true)]
-async fn regions_bind_while_the_store_is_silent() {
-    let fleet = fleet_of(LARGE, all_in(2, NORTH)).await;
+async fn regions_apply_while_the_store_is_silent() {
+    let fleet = start_fleet(LARGE_FLEET, restrict_all_to(2, NORTH)).await;
     fleet.records.set_fault(Fault::Silent);
     let mut ids = Vec::new();
-    for node in southern(&fleet) {
+    for node in southern_nodes(&fleet) {
         let mut client = fleet.session(node, BOUNDED_DATABASE);
         let (id, reply) = client.ask_as(read("x")).await;
         assert!(reply.outcome.is_ok(), "{reply:?}");
         ids.push((node, id));
     }
-    assert_eq!(outside(&fleet, &ids), Vec::<String>::new());
+    assert_eq!(residency_violations(&fleet, &ids), Vec::<String>::new());
 }
 
 /// A process that has not heard of a region's removal: the home that knows it refuses.
 #[tokio::test(start_paused = true)]
-async fn a_home_that_knows_newer_regions_refuses_as_not_run() {
-    let fleet = fleet_of(LARGE, all_in(2, BOTH)).await;
-    let node = southern_bystander(&fleet);
+async fn a_home_with_newer_regions_refuses_with_verdict_not_run() {
+    let fleet = start_fleet(LARGE_FLEET, restrict_all_to(2, BOTH)).await;
+    let node = southern_uninvolved_node(&fleet);
     let homes = &candidates_of(&fleet, "c")[..HOMES_PER_MEMBER];
     for home in homes {
         let engine = &fleet.nodes[*home].engine;
-        assert!(engine.set_configuration(all_in(3, NORTH)));
+        assert!(engine.set_configuration(restrict_all_to(3, NORTH)));
     }
     let mut client = fleet.session(node, BOUNDED_DATABASE);
     let mut ids = Vec::new();
@@ -525,9 +528,9 @@
 
 /// Statements of all kinds, while members and homes fail at random; where they have been
 /// outside the north, and how many were served.
-async fn ask_under_faults(fleet: &mut Fleet, seed: u64, kills: bool) -> (Vec<String>, usize) {
+async fn run_with_random_faults(fleet: &mut Fleet, seed: u64, kills: bool) -> (Vec<String>, usize) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let callers = southern(fleet);
+    let callers = southern_nodes(fleet);
     let (mut ids, mut served) = (Vec::new(), 0);
     for round in 0..60 {
         let server = NORTHERN[rng.random_range(0..NORTHERN.len())];
@@ -563,77 +566,79 @@
             });
         }
     }
-    (outside(fleet, &ids), served)
+    (residency_violations(fleet, &ids), served)
 }
 
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn nothing_leaves_the_home_region_under_random_faults(
     #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64,
-    #[values(4, LARGE)] nodes: usize,
+    #[values(4, LARGE_FLEET)] nodes: usize,
 ) {
     let zones = match nodes {
-        LARGE => ONE_NORTHERN_ZONE,
+        LARGE_FLEET => ONE_NORTHERN_ZONE,
         _ => ZONES,
     };
-    let mut fleet = fleet_that_knows(zones, nodes, all_in(2, NORTH), regions).await;
-    let (outside, served) = ask_under_faults(&mut fleet, seed, nodes == LARGE).await;
-    assert_eq!(outside, Vec::<String>::new());
+    let mut fleet =
+        start_fleet_with_regions(zones, nodes, restrict_all_to(2, NORTH), regions).await;
+    let (violations, served) = run_with_random_faults(&mut fleet, seed, nodes == LARGE_FLEET).await;
+    assert_eq!(violations, Vec::<String>::new());
     assert!(served > 40, "{served}");
 }
 
 /// What happens to the members in the north before a read.
 #[derive(Debug, Clone, Copy)]
-enum Trouble {
+enum MemberFault {
     /// None: the read goes to the nearest.
-    Nothing,
+    None,
     /// The first that is asked is silent: the read is sent to a second one.
-    Silence,
+    Silent,
     /// They refuse: the read goes on to another.
-    Refusals,
+    Busy,
 }
 
 /// Planted mistake: processes take a member elsewhere for one in the home region. It is found
 /// by whichever way leads there.
 #[rstest]
-#[case::a_first_try(Trouble::Nothing, 2)]
-#[case::a_second_try_of_a_silent_read(Trouble::Silence, 0)]
-#[case::a_retry(Trouble::Refusals, 0)]
+#[case::a_first_try(MemberFault::None, 2)]
+#[case::a_second_try_of_a_silent_read(MemberFault::Silent, 0)]
+#[case::a_retry(MemberFault::Busy, 0)]
 #[tokio::test(start_paused = true)]
-async fn a_member_that_is_wrongly_allowed_is_found(#[case] trouble: Trouble, #[case] node: usize) {
-    for (regions, is_planted) in [
+async fn a_member_outside_the_region_is_detected(#[case] fault: MemberFault, #[case] node: usize) {
+    for (regions, is_injected) in [
         (regions as fn(&str) -> _, false),
-        (regions_with_a_wrong_member, true),
+        (regions_with_misplaced_servers, true),
     ] {
-        let fleet = fleet_that_knows(ZONES, 4, all_in(2, NORTH), regions).await;
+        let fleet = start_fleet_with_regions(ZONES, 4, restrict_all_to(2, NORTH), regions).await;
         let mut client = fleet.session(node, BOUNDED_DATABASE);
         assert!(client.read("x").await.outcome.is_ok());
         for server in NORTHERN {
-            fleet.world.change(server, |server| match trouble {
-                Trouble::Nothing => {}
-                Trouble::Silence => server.dark = true,
-                Trouble::Refusals => server.busy = true,
+            fleet.world.change(server, |server| match fault {
+                MemberFault::None => {}
+                MemberFault::Silent => server.dark = true,
+                MemberFault::Busy => server.busy = true,
             });
         }
         let (id, reply) = client.ask_as(read("x")).await;
-        let outside = outside(&fleet, &[(node, id)]);
-        assert_eq!(!outside.is_empty(), is_planted, "{trouble:?}: {reply:?}");
+        let violations = residency_violations(&fleet, &[(node, id)]);
+        assert_eq!(!violations.is_empty(), is_injected, "{fault:?}: {reply:?}");
     }
 }
 
 /// Planted mistake: a process takes others for ones in the home region. It is found once these
 /// follow as homes.
 #[tokio::test(start_paused = true)]
-async fn a_home_that_is_wrongly_allowed_is_found() {
-    for (regions, is_planted) in [
+async fn a_home_outside_the_region_is_detected() {
+    for (regions, is_injected) in [
         (regions as fn(&str) -> _, false),
-        (regions_with_a_wrong_process, true),
+        (regions_with_misplaced_processes, true),
     ] {
-        let next = all_in(2, NORTH);
-        let mut fleet = fleet_that_knows(ONE_NORTHERN_ZONE, LARGE, next, regions).await;
-        let node = southern_bystander(&fleet);
-        let northern: Vec<usize> = (0..LARGE)
-            .filter(|node| !southern(&fleet).contains(node))
+        let next = restrict_all_to(2, NORTH);
+        let mut fleet =
+            start_fleet_with_regions(ONE_NORTHERN_ZONE, LARGE_FLEET, next, regions).await;
+        let node = southern_uninvolved_node(&fleet);
+        let northern: Vec<usize> = (0..LARGE_FLEET)
+            .filter(|node| !southern_nodes(&fleet).contains(node))
             .collect();
         northern.into_iter().for_each(|node| fleet.kill(node));
         let is_wrong = |node: &usize| &*fleet.nodes[*node].engine.settings().zone == "zone-d";
@@ -647,6 +652,6 @@
             let mut client = fleet.session(node, BOUNDED_DATABASE);
             ids.push((node, client.ask_as(read("x")).await.0));
         }
-        assert_eq!(!outside(&fleet, &ids).is_empty(), is_planted);
+        assert_eq!(!residency_violations(&fleet, &ids).is_empty(), is_injected);
     }
 }
--- a/crates/engine/tests/slow_start.rs
+++ b/crates/engine/tests/slow_start.rs
@@ -26,15 +26,15 @@
 use tokio::time::{Instant, sleep};
 
 /// Processes of a fleet that connect by themselves.
-const SMALL: usize = 6;
+const SMALL_FLEET: usize = 6;
 /// Processes of a fleet that needs homes.
-const LARGE: usize = 20;
+const LARGE_FLEET: usize = 20;
 /// Statements that a cold member takes in a second.
-const MOST: usize = 30;
+const LIMIT: usize = 30;
 /// How long a member is cold.
-const COLD: Duration = Duration::from_secs(30);
+const COLD_DURATION: Duration = Duration::from_secs(30);
 /// Time after which processes with old knowledge send nothing: twice the contact time.
-const KNOWLEDGE: Duration = Duration::from_secs(8);
+const MAX_RECORD_AGE: Duration = Duration::from_secs(8);
 const SECOND: Duration = Duration::from_secs(1);
 
 fn slow_start(version: u64, per_second: f64) -> Configuration {
@@ -42,14 +42,14 @@
     next.version = version;
     for group in next.groups.values_mut() {
         group.slow_start = Some(SlowStart {
-            duration: COLD,
+            duration: COLD_DURATION,
             per_second,
         });
     }
     next
 }
 
-async fn declare(fleet: &Fleet, next: Configuration) {
+async fn apply_configuration(fleet: &Fleet, next: Configuration) {
     let version = next.version;
     fleet.configuration.send_replace(next);
     until(|| {
@@ -60,22 +60,22 @@
 }
 
 /// A fleet whose group has a slow start; no member is cold.
-async fn fleet_of(nodes: usize) -> Fleet {
+async fn start_fleet(nodes: usize) -> Fleet {
     let fleet = Fleet::start(nodes).await;
     let knows_all = |node: &support::Node| node.engine.homes().fleet().len() == nodes;
     until(|| fleet.nodes.iter().all(knows_all)).await;
-    declare(&fleet, slow_start(2, MOST as f64)).await;
+    apply_configuration(&fleet, slow_start(2, LIMIT as f64)).await;
     // Connections that were opened before the fleet was known have ended.
     sleep(Duration::from_secs(3)).await;
     fleet
 }
 
 /// Lets the entry of `member` say that it is cold; returns once all processes know it.
-async fn chill(fleet: &Fleet, member: &str) {
-    let until_then = Instant::now() + COLD;
+async fn make_cold(fleet: &Fleet, member: &str) {
+    let cold_until = Instant::now() + COLD_DURATION;
     fleet
         .world
-        .change(member, |server| server.cold_until = Some(until_then));
+        .change(member, |server| server.cold_until = Some(cold_until));
     until(|| fleet.nodes.iter().all(|node| knows_cold(node, member))).await;
 }
 
@@ -94,14 +94,14 @@
 }
 
 /// Makes the other servers so slow that reads prefer `member`.
-fn slow_others(fleet: &Fleet, member: &str) {
+fn slow_down_others(fleet: &Fleet, member: &str) {
     for other in ["a", "b", "c"].into_iter().filter(|name| *name != member) {
         fleet.world.change(other, |server| server.slowness = 12);
     }
 }
 
 /// Waits until `member` has shares, and every process may have heard of them.
-async fn allotted(fleet: &Fleet, member: &str) -> Shares {
+async fn wait_for_shares(fleet: &Fleet, member: &str) -> Shares {
     until(|| shares(fleet, member).is_some()).await;
     sleep(SECOND * 2).await;
     shares(fleet, member).expect("shares")
@@ -119,22 +119,22 @@
 }
 
 /// When a server has run statements, to the millisecond.
-struct Runs {
+struct StatementTimes {
     at: Arc<Mutex<Vec<Instant>>>,
     task: JoinHandle<()>,
 }
 
-impl Runs {
-    fn watch(world: &Arc<World>, server: &str) -> Self {
+impl StatementTimes {
+    fn record(world: &Arc<World>, server: &str) -> Self {
         let at: Arc<Mutex<Vec<Instant>>> = Arc::default();
-        let (world, server, noted) = (Arc::clone(world), server.to_owned(), Arc::clone(&at));
+        let (world, server, times) = (Arc::clone(world), server.to_owned(), Arc::clone(&at));
         let task = tokio::spawn(async move {
             let mut known = world.server(&server).statements;
             loop {
                 sleep(Duration::from_millis(1)).await;
                 let now = world.server(&server).statements;
                 let new = (known..now).map(|_| Instant::now());
-                noted.lock().unwrap().extend(new);
+                times.lock().unwrap().extend(new);
                 known = now;
             }
         });
@@ -146,18 +146,18 @@
     }
 
     /// The most in any second.
-    fn most(&self) -> usize {
-        most_in_a_second(&self.at.lock().unwrap())
+    fn max_per_second(&self) -> usize {
+        max_per_second(&self.at.lock().unwrap())
     }
 }
 
-impl Drop for Runs {
+impl Drop for StatementTimes {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-fn most_in_a_second(at: &[Instant]) -> usize {
+fn max_per_second(at: &[Instant]) -> usize {
     let within = |first: &Instant| {
         let until = *first + SECOND;
         at.iter().filter(|at| *at >= first && **at < until).count()
@@ -173,7 +173,7 @@
 
 impl Load {
     /// `callers` at each of `nodes`; they write, or read.
-    fn begin(fleet: &Fleet, nodes: &[usize], callers: usize, writes: bool) -> Self {
+    fn start(fleet: &Fleet, nodes: &[usize], callers: usize, writes: bool) -> Self {
         let replies: Arc<Mutex<Vec<Reply>>> = Arc::default();
         let database = match writes {
             true => LEADER_DATABASE,
@@ -200,51 +200,59 @@
         }
     }
 
-    fn end(self) -> Vec<Reply> {
+    fn stop(self) -> Vec<Reply> {
         self.tasks.iter().for_each(|task| task.abort());
         std::mem::take(&mut self.replies.lock().unwrap())
     }
 }
 
-fn all(nodes: usize) -> Vec<usize> {
+fn all_nodes(nodes: usize) -> Vec<usize> {
     (0..nodes).collect()
 }
 
 #[rstest]
-#[case::small(SMALL)]
-#[case::large(LARGE)]
+#[case::small(SMALL_FLEET)]
+#[case::large(LARGE_FLEET)]
 #[tokio::test(start_paused = true)]
-async fn a_cold_replica_gets_what_it_takes_and_nobody_is_refused(#[case] nodes: usize) {
-    let fleet = fleet_of(nodes).await;
-    slow_others(&fleet, "b");
-    chill(&fleet, "b").await;
-    let runs = Runs::watch(&fleet.world, "b");
-    allotted(&fleet, "b").await;
-    let load = Load::begin(&fleet, &all(nodes), 4, false);
+async fn a_cold_replica_stays_within_its_limit_and_no_read_is_refused(#[case] nodes: usize) {
+    let fleet = start_fleet(nodes).await;
+    slow_down_others(&fleet, "b");
+    make_cold(&fleet, "b").await;
+    let runs = StatementTimes::record(&fleet.world, "b");
+    wait_for_shares(&fleet, "b").await;
+    let load = Load::start(&fleet, &all_nodes(nodes), 4, false);
     sleep(Duration::from_secs(8)).await;
-    let replies = load.end();
-    assert!(runs.most() <= MOST, "{} in a second", runs.most());
+    let replies = load.stop();
+    assert!(
+        runs.max_per_second() <= LIMIT,
+        "{} in a second",
+        runs.max_per_second()
+    );
     assert!(runs.count() > 0, "it is not used at all");
     let refused = replies.iter().filter(|reply| reply.outcome.is_err());
     assert_eq!(refused.count(), 0, "of {}", replies.len());
 }
 
 #[rstest]
-#[case::small(SMALL)]
-#[case::large(LARGE)]
+#[case::small(SMALL_FLEET)]
+#[case::large(LARGE_FLEET)]
 #[tokio::test(start_paused = true)]
 async fn a_cold_leader_gets_what_it_takes_and_the_others_wait_or_are_told(#[case] nodes: usize) {
-    let fleet = fleet_of(nodes).await;
-    chill(&fleet, "a").await;
-    allotted(&fleet, "a").await;
-    let runs = Runs::watch(&fleet.world, "a");
-    let load = Load::begin(&fleet, &all(nodes), 2, true);
+    let fleet = start_fleet(nodes).await;
+    make_cold(&fleet, "a").await;
+    wait_for_shares(&fleet, "a").await;
+    let runs = StatementTimes::record(&fleet.world, "a");
+    let load = Load::start(&fleet, &all_nodes(nodes), 2, true);
     sleep(Duration::from_secs(6)).await;
-    let replies = load.end();
-    assert!(runs.most() <= MOST, "{} in a second", runs.most());
+    let replies = load.stop();
+    assert!(
+        runs.max_per_second() <= LIMIT,
+        "{} in a second",
+        runs.max_per_second()
+    );
     // Most of what may be sent is.
     assert!(
-        runs.count() >= 6 * MOST / 2,
+        runs.count() >= 6 * LIMIT / 2,
         "{} in six seconds",
         runs.count()
     );
@@ -265,10 +273,10 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_write_waits_for_its_turn_while_that_comes_in_time() {
-    let fleet = fleet_of(1).await;
-    declare(&fleet, slow_start(3, 2.0)).await;
-    chill(&fleet, "a").await;
-    let shares = allotted(&fleet, "a").await;
+    let fleet = start_fleet(1).await;
+    apply_configuration(&fleet, slow_start(3, 2.0)).await;
+    make_cold(&fleet, "a").await;
+    let shares = wait_for_shares(&fleet, "a").await;
     assert_eq!(shares.values().sum::<usize>(), 1, "one is left to orders");
     let mut client = fleet.session(0, LEADER_DATABASE);
     assert!(client.write("x").await.outcome.is_ok());
@@ -296,12 +304,12 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_transaction_that_is_open_goes_on() {
-    let fleet = fleet_of(1).await;
-    declare(&fleet, slow_start(3, 10.0)).await;
-    chill(&fleet, "a").await;
-    allotted(&fleet, "a").await;
+    let fleet = start_fleet(1).await;
+    apply_configuration(&fleet, slow_start(3, 10.0)).await;
+    make_cold(&fleet, "a").await;
+    wait_for_shares(&fleet, "a").await;
     let mut client = fleet.session(0, LEADER_DATABASE);
-    let load = Load::begin(&fleet, &[0], 4, true);
+    let load = Load::start(&fleet, &[0], 4, true);
     let mut committed = 0;
     for _ in 0..20 {
         assert!(client.begin(false).await.outcome.is_ok());
@@ -314,16 +322,16 @@
         assert!(client.commit().await.outcome.is_ok());
         committed += 1;
     }
-    load.end();
+    load.stop();
     assert!(committed > 0);
 }
 
 #[tokio::test(start_paused = true)]
 async fn whoever_reaches_no_home_sends_nothing_to_a_cold_member() {
-    let fleet = fleet_of(LARGE).await;
-    chill(&fleet, "b").await;
-    let shares = allotted(&fleet, "b").await;
-    let node = (0..LARGE).find(|node| !shares.contains_key(fleet.nodes[*node].name.as_str()));
+    let fleet = start_fleet(LARGE_FLEET).await;
+    make_cold(&fleet, "b").await;
+    let shares = wait_for_shares(&fleet, "b").await;
+    let node = (0..LARGE_FLEET).find(|node| !shares.contains_key(fleet.nodes[*node].name.as_str()));
     let node = node.expect("one without a share");
     for other in &fleet.nodes {
         fleet.network().cut(&fleet.nodes[node].name, &other.name);
@@ -331,48 +339,52 @@
     for server in ["a", "c"] {
         fleet.network().cut(&fleet.nodes[node].name, server);
     }
-    let runs = Runs::watch(&fleet.world, "b");
-    let load = Load::begin(&fleet, &[node], 4, false);
+    let runs = StatementTimes::record(&fleet.world, "b");
+    let load = Load::start(&fleet, &[node], 4, false);
     sleep(Duration::from_secs(5)).await;
-    let replies = load.end();
+    let replies = load.stop();
     assert_eq!(runs.count(), 0);
     assert!(!replies.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
 async fn homes_that_do_not_see_one_another_keep_the_sum() {
-    let fleet = fleet_of(LARGE).await;
-    chill(&fleet, "a").await;
-    allotted(&fleet, "a").await;
+    let fleet = start_fleet(LARGE_FLEET).await;
+    make_cold(&fleet, "a").await;
+    wait_for_shares(&fleet, "a").await;
     let homes = homes_of(&fleet, "a");
     // Half of the fleet sees the one home, half the other.
-    for node in 0..LARGE {
+    for node in 0..LARGE_FLEET {
         let lost = homes[node % 2];
         if lost != node {
             let (node, lost) = (&fleet.nodes[node].name, &fleet.nodes[lost].name);
             fleet.network().cut(node, lost);
         }
     }
-    let runs = Runs::watch(&fleet.world, "a");
-    let load = Load::begin(&fleet, &all(LARGE), 2, true);
+    let runs = StatementTimes::record(&fleet.world, "a");
+    let load = Load::start(&fleet, &all_nodes(LARGE_FLEET), 2, true);
     sleep(Duration::from_secs(6)).await;
-    load.end();
-    assert!(runs.most() <= MOST, "{} in a second", runs.most());
-    assert!(runs.count() > 2 * MOST, "{} in six seconds", runs.count());
+    load.stop();
+    assert!(
+        runs.max_per_second() <= LIMIT,
+        "{} in a second",
+        runs.max_per_second()
+    );
+    assert!(runs.count() > 2 * LIMIT, "{} in six seconds", runs.count());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_home_that_is_killed_and_started_anew_keeps_the_sum() {
-    let mut fleet = fleet_of(LARGE).await;
-    chill(&fleet, "a").await;
-    allotted(&fleet, "a").await;
+async fn the_limit_holds_when_a_home_is_killed_and_restarted() {
+    let mut fleet = start_fleet(LARGE_FLEET).await;
+    make_cold(&fleet, "a").await;
+    wait_for_shares(&fleet, "a").await;
     let home = homes_of(&fleet, "a")[0];
-    let others: Vec<usize> = all(LARGE)
+    let others: Vec<usize> = all_nodes(LARGE_FLEET)
         .into_iter()
         .filter(|node| *node != home)
         .collect();
-    let runs = Runs::watch(&fleet.world, "a");
-    let load = Load::begin(&fleet, &others, 2, true);
+    let runs = StatementTimes::record(&fleet.world, "a");
+    let load = Load::start(&fleet, &others, 2, true);
     sleep(SECOND).await;
     for _ in 0..3 {
         fleet.kill(home);
@@ -383,84 +395,92 @@
     }
     let before = runs.count();
     sleep(SECOND * 4).await;
-    load.end();
-    assert!(runs.most() <= MOST, "{} in a second", runs.most());
+    load.stop();
+    assert!(
+        runs.max_per_second() <= LIMIT,
+        "{} in a second",
+        runs.max_per_second()
+    );
     assert!(runs.count() > before, "the other home goes on");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_restart_of_all_keeps_the_sum() {
-    let mut fleet = fleet_of(SMALL).await;
-    chill(&fleet, "a").await;
-    allotted(&fleet, "a").await;
-    let runs = Runs::watch(&fleet.world, "a");
-    let load = Load::begin(&fleet, &all(SMALL), 4, true);
+    let mut fleet = start_fleet(SMALL_FLEET).await;
+    make_cold(&fleet, "a").await;
+    wait_for_shares(&fleet, "a").await;
+    let runs = StatementTimes::record(&fleet.world, "a");
+    let load = Load::start(&fleet, &all_nodes(SMALL_FLEET), 4, true);
     sleep(SECOND * 2).await;
-    load.end();
-    (0..SMALL).for_each(|node| fleet.kill(node));
+    load.stop();
+    (0..SMALL_FLEET).for_each(|node| fleet.kill(node));
     let names: Vec<String> = fleet.nodes.iter().map(|node| node.name.clone()).collect();
     fleet.nodes = names.iter().map(|name| fleet.respawn_node(name)).collect();
     let before = runs.count();
-    let load = Load::begin(&fleet, &all(SMALL), 4, true);
+    let load = Load::start(&fleet, &all_nodes(SMALL_FLEET), 4, true);
     sleep(SECOND * 5).await;
-    load.end();
-    assert!(runs.most() <= MOST, "{} in a second", runs.most());
+    load.stop();
+    assert!(
+        runs.max_per_second() <= LIMIT,
+        "{} in a second",
+        runs.max_per_second()
+    );
     assert!(runs.count() > before, "the shares are in the store");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_home_that_stood_still_sends_nothing_on_old_knowledge() {
-    let fleet = fleet_of(LARGE).await;
-    chill(&fleet, "a").await;
-    allotted(&fleet, "a").await;
+    let fleet = start_fleet(LARGE_FLEET).await;
+    make_cold(&fleet, "a").await;
+    wait_for_shares(&fleet, "a").await;
     let home = homes_of(&fleet, "a")[0];
     let name = fleet.nodes[home].name.clone();
     fleet.freeze(&name, true);
     fleet.records.refuse_node(&name, true);
-    sleep(KNOWLEDGE + SECOND).await;
+    sleep(MAX_RECORD_AGE + SECOND).await;
     let as_of = fleet.nodes[home].engine.slow_starts().records_as_of();
-    assert!(as_of.expect("known before").elapsed() > KNOWLEDGE);
+    assert!(as_of.expect("known before").elapsed() > MAX_RECORD_AGE);
     // The store is cut off when it goes on: nothing tells it that its share still holds.
     for other in &fleet.nodes {
         fleet.network().cut(&name, &other.name);
     }
     fleet.freeze(&name, false);
-    let runs = Runs::watch(&fleet.world, "a");
-    let load = Load::begin(&fleet, &[home], 4, true);
+    let runs = StatementTimes::record(&fleet.world, "a");
+    let load = Load::start(&fleet, &[home], 4, true);
     sleep(SECOND * 3).await;
-    load.end();
+    load.stop();
     assert_eq!(runs.count(), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn shares_outlast_a_short_silence_of_the_store_and_no_long_one() {
-    let fleet = fleet_of(SMALL).await;
-    chill(&fleet, "b").await;
-    allotted(&fleet, "b").await;
-    slow_others(&fleet, "b");
-    let runs = Runs::watch(&fleet.world, "b");
-    let load = Load::begin(&fleet, &all(SMALL), 4, false);
+async fn shares_stay_valid_only_during_a_short_store_outage() {
+    let fleet = start_fleet(SMALL_FLEET).await;
+    make_cold(&fleet, "b").await;
+    wait_for_shares(&fleet, "b").await;
+    slow_down_others(&fleet, "b");
+    let runs = StatementTimes::record(&fleet.world, "b");
+    let load = Load::start(&fleet, &all_nodes(SMALL_FLEET), 4, false);
     fleet.records.set_fault(Fault::Silent);
     sleep(SECOND * 3).await;
     let early = runs.count();
     assert!(early > 0, "what is known is recent enough");
-    sleep(KNOWLEDGE).await;
+    sleep(MAX_RECORD_AGE).await;
     let late = runs.count();
     sleep(SECOND * 3).await;
     assert_eq!(runs.count(), late, "nothing on old knowledge");
-    load.end();
-    assert!(runs.most() <= MOST);
+    load.stop();
+    assert!(runs.max_per_second() <= LIMIT);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_member_that_turns_cold_while_the_store_is_silent_gets_nothing() {
-    let fleet = fleet_of(SMALL).await;
+async fn a_member_that_becomes_cold_while_the_store_is_silent_gets_nothing() {
+    let fleet = start_fleet(SMALL_FLEET).await;
     fleet.records.set_fault(Fault::Silent);
-    chill(&fleet, "b").await;
-    let runs = Runs::watch(&fleet.world, "b");
-    let load = Load::begin(&fleet, &all(SMALL), 2, false);
+    make_cold(&fleet, "b").await;
+    let runs = StatementTimes::record(&fleet.world, "b");
+    let load = Load::start(&fleet, &all_nodes(SMALL_FLEET), 2, false);
     sleep(SECOND * 3).await;
-    let replies = load.end();
+    let replies = load.stop();
     assert_eq!(runs.count(), 0);
     assert!(
         replies.iter().any(|reply| reply.outcome.is_ok()),
@@ -469,24 +489,28 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_member_that_turns_cold_again_has_its_shares_at_once() {
-    let fleet = fleet_of(SMALL).await;
-    chill(&fleet, "b").await;
-    let first = allotted(&fleet, "b").await;
-    sleep(COLD).await;
+async fn a_member_that_becomes_cold_again_keeps_its_shares() {
+    let fleet = start_fleet(SMALL_FLEET).await;
+    make_cold(&fleet, "b").await;
+    let first = wait_for_shares(&fleet, "b").await;
+    sleep(COLD_DURATION).await;
     assert!(!knows_cold(&fleet.nodes[0], "b"));
     let calls = fleet
         .records
         .get(&Allotments::key(GROUP))
         .expect("shares")
         .version;
-    chill(&fleet, "b").await;
-    slow_others(&fleet, "b");
-    let runs = Runs::watch(&fleet.world, "b");
-    let load = Load::begin(&fleet, &all(SMALL), 4, false);
+    make_cold(&fleet, "b").await;
+    slow_down_others(&fleet, "b");
+    let runs = StatementTimes::record(&fleet.world, "b");
+    let load = Load::start(&fleet, &all_nodes(SMALL_FLEET), 4, false);
     sleep(SECOND * 3).await;
-    load.end();
-    assert!(runs.most() <= MOST, "{} in a second", runs.most());
+    load.stop();
+    assert!(
+        runs.max_per_second() <= LIMIT,
+        "{} in a second",
+        runs.max_per_second()
+    );
     assert!(runs.count() > 0);
     assert_eq!(shares(&fleet, "b").as_ref(), Some(&first));
     let now = fleet
@@ -498,21 +522,21 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_next_candidate_writes_the_shares_where_the_first_is_gone() {
-    let mut fleet = fleet_of(LARGE).await;
+async fn the_next_candidate_writes_the_shares_if_the_first_has_failed() {
+    let mut fleet = start_fleet(LARGE_FLEET).await;
     let first = homes_of(&fleet, "b")[0];
     fleet.kill(first);
-    let until_then = Instant::now() + COLD;
+    let cold_until = Instant::now() + COLD_DURATION;
     fleet
         .world
-        .change("b", |server| server.cold_until = Some(until_then));
-    let shares = allotted(&fleet, "b").await;
+        .change("b", |server| server.cold_until = Some(cold_until));
+    let shares = wait_for_shares(&fleet, "b").await;
     assert!(shares.len() > 1);
 }
 
 #[tokio::test(start_paused = true)]
 async fn members_of_a_zone_that_is_used_again_are_cold() {
-    let fleet = fleet_of(1).await;
+    let fleet = start_fleet(1).await;
     let engine = &fleet.nodes[0].engine;
     let evacuations = |version, zones: &[&str]| Evacuations {
         version,
@@ -523,21 +547,25 @@
     };
     engine.set_evacuations(evacuations(5, &["zone-b"]));
     engine.set_evacuations(evacuations(6, &[]));
-    allotted(&fleet, "b").await;
-    let runs = Runs::watch(&fleet.world, "b");
+    wait_for_shares(&fleet, "b").await;
+    let runs = StatementTimes::record(&fleet.world, "b");
     // Nothing else can run it.
     fleet.network().cut(&fleet.nodes[0].name, "a");
     fleet.network().cut(&fleet.nodes[0].name, "c");
-    let load = Load::begin(&fleet, &[0], 20, false);
+    let load = Load::start(&fleet, &[0], 20, false);
     sleep(SECOND).await;
-    load.end();
-    assert!(runs.most() <= MOST, "{} in a second", runs.most());
+    load.stop();
+    assert!(
+        runs.max_per_second() <= LIMIT,
+        "{} in a second",
+        runs.max_per_second()
+    );
     assert_eq!(shares(&fleet, "c"), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_knowledge_of_evacuations_every_member_may_be_cold() {
-    let mut fleet = fleet_of(1).await;
+async fn members_count_as_cold_while_evacuations_are_unknown() {
+    let mut fleet = start_fleet(1).await;
     let name = fleet.nodes[0].name.clone();
     fleet.kill(0);
     fleet.evacuation_bound = Some(Duration::from_secs(5));
@@ -558,7 +586,7 @@
     fleet.records.refuse_node(&name, true);
     sleep(Duration::from_secs(4)).await;
     assert!(client.write("x").await.outcome.is_ok());
-    let runs = Runs::watch(&fleet.world, "a");
+    let runs = StatementTimes::record(&fleet.world, "a");
     sleep(Duration::from_secs(2)).await;
     let refused = client.write("x").await.outcome.expect_err("it may be cold");
     assert_eq!(refused.verdict, Verdict::NotRun);
@@ -571,8 +599,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_member_is_not_told_to_be_warm_too_early() {
     // What is left is told by another process, over a link that takes its time.
-    let fleet = fleet_of(LARGE).await;
-    chill(&fleet, "b").await;
+    let fleet = start_fleet(LARGE_FLEET).await;
+    make_cold(&fleet, "b").await;
     let told = fleet.world.server("b").cold_until.expect("cold");
     for node in &fleet.nodes {
         let directory = node.engine.directory();
@@ -587,12 +615,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn deployments_without_slow_start_count_nothing() {
-    let fleet = Fleet::start(SMALL).await;
-    let until_then = Instant::now() + COLD;
+async fn groups_without_slow_start_have_no_shares() {
+    let fleet = Fleet::start(SMALL_FLEET).await;
+    let cold_until = Instant::now() + COLD_DURATION;
     fleet
         .world
-        .change("b", |server| server.cold_until = Some(until_then));
+        .change("b", |server| server.cold_until = Some(cold_until));
     sleep(SECOND * 3).await;
     let starts = fleet
         .nodes
@@ -607,7 +635,7 @@
 
 /// What operators read of a share.
 #[test]
-fn the_event_of_a_share_has_its_fields() {
+fn the_slow_start_event_has_its_fields() {
     let event = Event::SlowStart {
         member: "i-7f".into(),
         group: "ledger".into(),
@@ -623,7 +651,7 @@
 
 /// What strikes a fleet while a member is cold.
 #[derive(Debug, Clone, Copy)]
-enum Trouble {
+enum Disruption {
     None,
     /// Two processes no longer see one another.
     Cut(usize, usize),
@@ -639,25 +667,25 @@
     Heal,
 }
 
-fn trouble(rng: &mut StdRng) -> Trouble {
-    let node = rng.random_range(0..LARGE);
+fn random_disruption(rng: &mut StdRng) -> Disruption {
+    let node = rng.random_range(0..LARGE_FLEET);
     match rng.random_range(0..10) {
-        0 => Trouble::None,
-        1 | 2 => Trouble::Cut(node, rng.random_range(0..LARGE)),
-        3 | 4 => Trouble::Replace(node),
-        5 => Trouble::Refuse(node),
-        6 | 7 => Trouble::Freeze(node),
-        8 => Trouble::Silence,
-        _ => Trouble::Heal,
+        0 => Disruption::None,
+        1 | 2 => Disruption::Cut(node, rng.random_range(0..LARGE_FLEET)),
+        3 | 4 => Disruption::Replace(node),
+        5 => Disruption::Refuse(node),
+        6 | 7 => Disruption::Freeze(node),
+        8 => Disruption::Silence,
+        _ => Disruption::Heal,
     }
 }
 
-async fn strike(fleet: &mut Fleet, trouble: Trouble) {
+async fn disrupt(fleet: &mut Fleet, disruption: Disruption) {
     let name = |node: usize| fleet.nodes[node].name.clone();
-    match trouble {
-        Trouble::None => {}
-        Trouble::Cut(one, other) => fleet.network().cut(&name(one), &name(other)),
-        Trouble::Replace(node) => {
+    match disruption {
+        Disruption::None => {}
+        Disruption::Cut(one, other) => fleet.network().cut(&name(one), &name(other)),
+        Disruption::Replace(node) => {
             let name = name(node);
             // What stands still on links of the earlier life would reach that one later.
             fleet.freeze(&name, false);
@@ -665,10 +693,10 @@
             sleep(Duration::from_millis(20)).await;
             fleet.nodes[node] = fleet.respawn_node(&name);
         }
-        Trouble::Refuse(node) => fleet.records.refuse_node(&name(node), true),
-        Trouble::Freeze(node) => fleet.freeze(&name(node), true),
-        Trouble::Silence => fleet.records.set_fault(Fault::Silent),
-        Trouble::Heal => {
+        Disruption::Refuse(node) => fleet.records.refuse_node(&name(node), true),
+        Disruption::Freeze(node) => fleet.freeze(&name(node), true),
+        Disruption::Silence => fleet.records.set_fault(Fault::Silent),
+        Disruption::Heal => {
             fleet.records.set_fault(Fault::None);
             fleet.network().heal();
             for node in &fleet.nodes {
@@ -683,33 +711,37 @@
 #[tokio::test(start_paused = true)]
 async fn no_second_has_more_whatever_strikes(#[values(1, 2, 3, 4)] seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut fleet = fleet_of(LARGE).await;
+    let mut fleet = start_fleet(LARGE_FLEET).await;
     let cold: &[&str] = &["a", "b"];
     for member in cold {
-        chill(&fleet, member).await;
+        make_cold(&fleet, member).await;
     }
     // Half of the homes are struck in any case.
     let home = homes_of(&fleet, "a")[0];
-    let runs: Vec<Runs> = cold
+    let runs: Vec<StatementTimes> = cold
         .iter()
-        .map(|server| Runs::watch(&fleet.world, server))
+        .map(|server| StatementTimes::record(&fleet.world, server))
         .collect();
     for round in 0..24 {
-        let struck = match round {
-            6 => Trouble::Freeze(home),
-            12 => Trouble::Replace(home),
-            _ => trouble(&mut rng),
+        let disruption = match round {
+            6 => Disruption::Freeze(home),
+            12 => Disruption::Replace(home),
+            _ => random_disruption(&mut rng),
         };
         // Callers of a process that is killed end with it.
-        strike(&mut fleet, struck).await;
-        let writes = Load::begin(&fleet, &all(LARGE), 1, true);
-        let reads = Load::begin(&fleet, &all(LARGE), 1, false);
+        disrupt(&mut fleet, disruption).await;
+        let writes = Load::start(&fleet, &all_nodes(LARGE_FLEET), 1, true);
+        let reads = Load::start(&fleet, &all_nodes(LARGE_FLEET), 1, false);
         sleep(Duration::from_millis(rng.random_range(200..1_200))).await;
-        writes.end();
-        reads.end();
+        writes.stop();
+        reads.stop();
     }
     for (runs, member) in runs.iter().zip(cold) {
-        assert!(runs.most() <= MOST, "{member}: {} in a second", runs.most());
+        assert!(
+            runs.max_per_second() <= LIMIT,
+            "{member}: {} in a second",
+            runs.max_per_second()
+        );
         assert!(runs.count() > 0, "{member}: nothing at all");
     }
 }
--- a/crates/engine/tests/slow_start_shares.rs
+++ b/crates/engine/tests/slow_start_shares.rs
@@ -15,7 +15,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn most_in_a_second(at: &[Instant]) -> usize {
+fn max_per_second(at: &[Instant]) -> usize {
     let within = |first: &Instant| {
         let until = *first + SECOND;
         at.iter().filter(|at| *at >= first && **at < until).count()
@@ -29,7 +29,7 @@
 #[case::even(31, 7)]
 #[case::many(400, 16)]
 #[case::none(0, 4)]
-fn shares_sum_up_to_less_than_a_member_takes(#[case] most: usize, #[case] nodes: usize) {
+fn the_shares_add_up_to_at_most_the_limit(#[case] most: usize, #[case] nodes: usize) {
     let names: Vec<NodeName> = (0..nodes).map(|n| Arc::from(format!("n{n}"))).collect();
     for senders in [Senders::All(names.clone()), Senders::Candidates(names)] {
         let sum: usize = divide(most, &senders).into_values().sum();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_is_taken_away_is_gone_at_once_and_what_is_added_comes_later() {
+fn decreases_apply_at_once_and_increases_after_settling() {
     let shares = |list: &[(&str, usize)]| -> Shares {
         let entries = list.iter().map(|(node, share)| (Arc::from(*node), *share));
         entries.collect()
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn whoever_would_wait_too_long_is_told_when_at_once() {
+async fn a_statement_that_would_wait_too_long_is_refused_at_once() {
     let gate = StatementGate::default();
     let share = |_| Allowance::Share(1);
     let soon = || SendPriority::InOrder(Instant::now() + Duration::from_millis(300));
@@ -102,32 +102,32 @@
 
 /// What the model leaves out of the rules.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Mistake {
+enum InjectedBug {
     None,
     /// What is added is used at once.
-    NoSettling,
+    NoSettlingTime,
     /// What is known of the store may be of any age.
-    AnyAge,
+    NoAgeLimit,
     /// A new life uses its share at once.
-    NoPause,
+    NoStartupWait,
     /// A replaced allotment is replaced again at once.
-    NoPatience,
+    ReplacesUnsettled,
 }
 
 /// One step of a schedule.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     /// A process hears of the store.
-    Hear(usize),
+    ReadStore(usize),
     /// A process starts anew.
     Restart(usize),
     /// All do.
     RestartAll,
     /// Somebody divides the shares anew.
-    Divide(usize),
+    Redistribute(usize),
 }
 
-struct Sender {
+struct Process {
     window: SendWindow,
     began: Instant,
     as_of: Option<Instant>,
@@ -135,44 +135,44 @@
 }
 
 const MODEL_PROCESSES: usize = 5;
-const MODEL_MOST: usize = 12;
+const MODEL_LIMIT: usize = 12;
 const TICK: Duration = Duration::from_millis(50);
 
 fn step() -> impl Strategy<Value = Option<Step>> {
     let process = 0..MODEL_PROCESSES;
     prop_oneof![
         8 => Just(None),
-        8 => process.clone().prop_map(|p| Some(Step::Hear(p))),
+        8 => process.clone().prop_map(|p| Some(Step::ReadStore(p))),
         2 => process.clone().prop_map(|p| Some(Step::Restart(p))),
         1 => Just(Some(Step::RestartAll)),
-        2 => process.prop_map(|p| Some(Step::Divide(p))),
+        2 => process.prop_map(|p| Some(Step::Redistribute(p))),
     ]
 }
 
 /// Plays a schedule; returns when statements were sent.
-fn play(steps: &[Option<Step>], mistake: Mistake) -> Vec<Instant> {
+fn simulate(steps: &[Option<Step>], bug: InjectedBug) -> Vec<Instant> {
     let start = Instant::now();
-    let knowledge = Duration::from_secs(2);
-    let settling = knowledge + WINDOW;
+    let max_record_age = Duration::from_secs(2);
+    let settling = max_record_age + WINDOW;
     let names: Vec<NodeName> = (0..MODEL_PROCESSES)
         .map(|n| Arc::from(format!("n{n}")))
         .collect();
-    let fresh = |began| Sender {
+    let new_process = |began| Process {
         window: SendWindow::default(),
         began,
         as_of: None,
         known: None,
     };
-    let mut senders: Vec<Sender> = names.iter().map(|_| fresh(start)).collect();
+    let mut processes: Vec<Process> = names.iter().map(|_| new_process(start)).collect();
     let mut store: Vec<Allotment> = Vec::new();
     let mut sent = Vec::new();
     for (tick, step) in steps.iter().enumerate() {
         let now = start + TICK * u32::try_from(tick).expect("few");
         match *step {
             None => {}
-            Some(Step::Hear(p)) => {
+            Some(Step::ReadStore(p)) => {
                 let newest = store.len().checked_sub(1);
-                let sender = &mut senders[p];
+                let sender = &mut processes[p];
                 sender.as_of = Some(now);
                 if let Some(newest) = newest
                     && sender.known.is_none_or(|(known, _)| known < newest)
@@ -180,37 +180,37 @@
                     sender.known = Some((newest, now));
                 }
             }
-            Some(Step::Restart(p)) => senders[p] = fresh(now),
-            Some(Step::RestartAll) => senders.iter_mut().for_each(|s| *s = fresh(now)),
-            Some(Step::Divide(p)) => {
+            Some(Step::Restart(p)) => processes[p] = new_process(now),
+            Some(Step::RestartAll) => processes.iter_mut().for_each(|s| *s = new_process(now)),
+            Some(Step::Redistribute(p)) => {
                 let newest = store.len().checked_sub(1);
-                let known = senders[p].known;
+                let known = processes[p].known;
                 let is_newest = known.map(|(known, _)| known) == newest;
                 let settled = known.is_none_or(|(_, since)| now >= since + settling);
-                if is_newest && (settled || mistake == Mistake::NoPatience) {
+                if is_newest && (settled || bug == InjectedBug::ReplacesUnsettled) {
                     // The writer's favourite has all.
                     let mut order = names.clone();
                     order.rotate_left(p);
                     let shares: BTreeMap<NodeName, usize> =
-                        divide(MODEL_MOST, &Senders::Candidates(order[..1].to_vec()));
+                        divide(MODEL_LIMIT, &Senders::Candidates(order[..1].to_vec()));
                     let before = newest.map(|newest| store[newest].shares.clone());
                     store.push(Allotment {
-                        most: MODEL_MOST,
+                        most: MODEL_LIMIT,
                         shares,
                         before,
                     });
                 }
             }
         }
-        for (sender, name) in senders.iter_mut().zip(&names) {
-            let recent = sender.as_of.is_some_and(|at| now <= at + knowledge);
-            let may_send = (recent || mistake == Mistake::AnyAge)
-                && (now >= sender.began + WINDOW || mistake == Mistake::NoPause);
+        for (sender, name) in processes.iter_mut().zip(&names) {
+            let recent = sender.as_of.is_some_and(|at| now <= at + max_record_age);
+            let may_send = (recent || bug == InjectedBug::NoAgeLimit)
+                && (now >= sender.began + WINDOW || bug == InjectedBug::NoStartupWait);
             let Some((known, since)) = sender.known.filter(|_| may_send) else {
                 continue;
             };
-            let settled = now >= since + settling || mistake == Mistake::NoSettling;
-            let share = store[known].share(name, MODEL_MOST, settled);
+            let settled = now >= since + settling || bug == InjectedBug::NoSettlingTime;
+            let share = store[known].share(name, MODEL_LIMIT, settled);
             while sender.window.try_take(share, now).is_ok() {
                 sent.push(now);
             }
@@ -225,57 +225,57 @@
     fn shares_hold_however_late_processes_hear(
         steps in proptest::collection::vec(step(), 100..600),
     ) {
-        let most = most_in_a_second(&play(&steps, Mistake::None));
-        prop_assert!(most <= MODEL_MOST, "{most} in a second");
+        let most = max_per_second(&simulate(&steps, InjectedBug::None));
+        prop_assert!(most <= MODEL_LIMIT, "{most} in a second");
     }
 }
 
 /// A schedule in which the first process divides, and the second does after `pause` ticks; only
 /// the second hears of the store meanwhile, or both do.
-fn two_writers(pause: usize, both_hear: bool) -> Vec<Option<Step>> {
+fn two_writers(pause: usize, both_read: bool) -> Vec<Option<Step>> {
     let mut steps = vec![
-        Some(Step::Divide(0)),
-        Some(Step::Hear(0)),
-        Some(Step::Hear(1)),
+        Some(Step::Redistribute(0)),
+        Some(Step::ReadStore(0)),
+        Some(Step::ReadStore(1)),
     ];
     // Both have lived for a window.
-    steps.extend((0..60).map(|tick| (tick % 9 == 0).then_some(Step::Hear(0))));
+    steps.extend((0..60).map(|tick| (tick % 9 == 0).then_some(Step::ReadStore(0))));
     steps.extend((0..pause).map(|tick| match tick % 3 {
-        0 => Some(Step::Hear(1)),
-        1 if both_hear => Some(Step::Hear(0)),
+        0 => Some(Step::ReadStore(1)),
+        1 if both_read => Some(Step::ReadStore(0)),
         _ => None,
     }));
-    steps.push(Some(Step::Divide(1)));
-    steps.extend((0..120).map(|tick| (tick % 3 == 0).then_some(Step::Hear(1))));
+    steps.push(Some(Step::Redistribute(1)));
+    steps.extend((0..120).map(|tick| (tick % 3 == 0).then_some(Step::ReadStore(1))));
     steps
 }
 
 #[rstest]
-#[case::what_is_added_is_used_at_once(two_writers(90, true), Mistake::NoSettling)]
-#[case::old_knowledge_is_used(two_writers(90, true), Mistake::AnyAge)]
+#[case::what_is_added_is_used_at_once(two_writers(90, true), InjectedBug::NoSettlingTime)]
+#[case::old_knowledge_is_used(two_writers(90, true), InjectedBug::NoAgeLimit)]
 #[case::a_new_life_does_not_wait(
     {
         let mut steps = two_writers(0, true);
         steps.truncate(60);
-        steps.extend([Some(Step::Restart(0)), Some(Step::Hear(0))]);
+        steps.extend([Some(Step::Restart(0)), Some(Step::ReadStore(0))]);
         steps
     },
-    Mistake::NoPause
+    InjectedBug::NoStartupWait
 )]
 #[case::an_allotment_is_replaced_too_soon(
     {
         // The same process divides twice: what it has got just before counts as settled.
         let mut steps = two_writers(90, true);
-        let divided = steps.iter().rposition(|step| matches!(step, Some(Step::Divide(_))));
-        steps.truncate(divided.expect("a division") + 1);
-        steps.extend([Some(Step::Hear(1)), Some(Step::Divide(1)), Some(Step::Hear(1))]);
+        let last_division = steps.iter().rposition(|step| matches!(step, Some(Step::Redistribute(_))));
+        steps.truncate(last_division.expect("a division") + 1);
+        steps.extend([Some(Step::ReadStore(1)), Some(Step::Redistribute(1)), Some(Step::ReadStore(1))]);
         steps
     },
-    Mistake::NoPatience
+    InjectedBug::ReplacesUnsettled
 )]
-fn planted_mistakes_are_noticed(#[case] steps: Vec<Option<Step>>, #[case] mistake: Mistake) {
-    let right = most_in_a_second(&play(&steps, Mistake::None));
-    assert!(right <= MODEL_MOST, "{right} in a second");
-    let wrong = most_in_a_second(&play(&steps, mistake));
-    assert!(wrong > MODEL_MOST, "only {wrong} in a second");
+fn planted_mistakes_are_noticed(#[case] steps: Vec<Option<Step>>, #[case] bug: InjectedBug) {
+    let right = max_per_second(&simulate(&steps, InjectedBug::None));
+    assert!(right <= MODEL_LIMIT, "{right} in a second");
+    let wrong = max_per_second(&simulate(&steps, bug));
+    assert!(wrong > MODEL_LIMIT, "only {wrong} in a second");
 }
--- a/crates/engine/tests/tenants.rs
+++ b/crates/engine/tests/tenants.rs
@@ -22,7 +22,7 @@
 use tokio::time::{Instant, sleep};
 
 /// Processes of a fleet that needs homes.
-const LARGE: usize = 20;
+const LARGE_FLEET: usize = 20;
 /// Time within which a removed credential must be refused.
 const REVOCATION: Duration = Duration::from_secs(5);
 
@@ -61,17 +61,17 @@
     configuration
 }
 
-const BOTH: &[(&str, &[&str])] = &[("one", &["key-1"]), ("two", &["key-2", "key-2b"])];
+const TENANTS: &[(&str, &[&str])] = &[("one", &["key-1"]), ("two", &["key-2", "key-2b"])];
 
 /// A fleet whose configuration has two tenants.
-async fn fleet_of(nodes: usize) -> Fleet {
+async fn start_fleet(nodes: usize) -> Fleet {
     let fleet = Fleet::start_with(&["zone-a", "zone-b"], nodes, policy()).await;
-    declare(&fleet, with_tenants(2, BOTH)).await;
+    apply_configuration(&fleet, with_tenants(2, TENANTS)).await;
     fleet
 }
 
 /// Puts a configuration into the store and waits until every process uses it.
-async fn declare(fleet: &Fleet, next: Configuration) {
+async fn apply_configuration(fleet: &Fleet, next: Configuration) {
     let version = next.version;
     fleet.configuration.send_replace(next);
     let uses = |node: &support::Node| {
@@ -93,7 +93,7 @@
 
 /// Asks at every process on behalf of both tenants; how many statements a server was told
 /// another tenant for than the one that asked.
-async fn mixed_up(fleet: &Fleet) -> usize {
+async fn count_wrong_tenants(fleet: &Fleet) -> usize {
     let mut asked: HashMap<String, &str> = HashMap::new();
     let nodes = fleet.nodes.len();
     for round in 0..4 {
@@ -123,24 +123,24 @@
 /// A small fleet connects by itself, a large one by way of homes.
 #[rstest]
 #[case::by_itself(3)]
-#[case::by_way_of_homes(LARGE)]
+#[case::by_way_of_homes(LARGE_FLEET)]
 #[tokio::test(start_paused = true)]
 async fn servers_are_told_the_tenant_of_each_statement(#[case] nodes: usize) {
-    let fleet = fleet_of(nodes).await;
-    assert_eq!(mixed_up(&fleet).await, 0);
+    let fleet = start_fleet(nodes).await;
+    assert_eq!(count_wrong_tenants(&fleet).await, 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_home_that_mixes_tenants_up_is_found() {
-    let fleet = fleet_of(LARGE).await;
+async fn a_home_that_confuses_tenants_is_detected() {
+    let fleet = start_fleet(LARGE_FLEET).await;
     sleep(Duration::from_secs(2)).await;
     fleet.peers.swaps_tenants.store(true, Ordering::Relaxed);
-    assert!(mixed_up(&fleet).await > 0);
+    assert!(count_wrong_tenants(&fleet).await > 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_unknown_credential_is_refused_for_good() {
-    let fleet = fleet_of(1).await;
+async fn an_unknown_credential_is_refused_without_a_retry_time() {
+    let fleet = start_fleet(1).await;
     for shown in [None, Some(credential("key-3"))] {
         let engine = Arc::clone(&fleet.nodes[0].engine);
         let failure = Session::open(engine, LEADER_DATABASE.into(), shown).await;
@@ -152,7 +152,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_credential_that_arrives_in_a_moment_is_waited_for() {
-    let fleet = fleet_of(1).await;
+    let fleet = start_fleet(1).await;
     let engine = Arc::clone(&fleet.nodes[0].engine);
     let next = with_tenants(3, &[("one", &["key-1", "key-new"])]);
     let opened = Session::open(engine, LEADER_DATABASE.into(), Some(credential("key-new")));
@@ -162,7 +162,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_process_that_may_be_behind_refuses_nobody_for_good() {
-    let fleet = fleet_of(1).await;
+    let fleet = start_fleet(1).await;
     fleet.records.set_fault(Fault::Refusing);
     // Longer than changes of the configuration may take.
     sleep(Duration::from_millis(3_200)).await;
@@ -177,15 +177,15 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_removed_credential_ends_sessions_and_transactions() {
-    let fleet = fleet_of(1).await;
-    let mut resting = client(&fleet, 0, LEADER_DATABASE, "key-1");
+    let fleet = start_fleet(1).await;
+    let mut idle = client(&fleet, 0, LEADER_DATABASE, "key-1");
     let mut open = client(&fleet, 0, LEADER_DATABASE, "key-1");
     let mut kept = client(&fleet, 0, LEADER_DATABASE, "key-2");
     open.begin(false).await;
     assert!(open.write("x 1").await.outcome.is_ok());
-    declare(&fleet, with_tenants(3, &BOTH[1..])).await;
+    apply_configuration(&fleet, with_tenants(3, &TENANTS[1..])).await;
     let unknown = Some(FailureReason::UnknownCredential);
-    assert_eq!(reason(&resting.read("x").await), unknown);
+    assert_eq!(reason(&idle.read("x").await), unknown);
     assert_eq!(reason(&open.commit().await), unknown);
     assert!(kept.read("x").await.outcome.is_ok());
     assert!(fleet.world.server("a").log.is_empty());
@@ -193,12 +193,12 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_transaction_does_not_pass_to_another_tenant() {
-    let fleet = fleet_of(1).await;
+    let fleet = start_fleet(1).await;
     let mut client = client(&fleet, 0, LEADER_DATABASE, "key-1");
     client.begin(false).await;
     assert!(client.write("x 1").await.outcome.is_ok());
     let moved = with_tenants(3, &[("one", &[]), ("two", &["key-1", "key-2"])]);
-    declare(&fleet, moved).await;
+    apply_configuration(&fleet, moved).await;
     let lost = Some(FailureReason::TransactionLost);
     assert_eq!(reason(&client.write("x 2").await), lost);
     assert!(fleet.world.server("a").log.is_empty());
@@ -208,12 +208,12 @@
 /// process, whatever keeps it from hearing of the removal; and until shortly before, callers
 /// whose credential is good are served.
 #[rstest]
-#[case::turned_away_by_the_store(LARGE, false)]
-#[case::frozen_meanwhile(LARGE, true)]
+#[case::turned_away_by_the_store(LARGE_FLEET, false)]
+#[case::frozen_meanwhile(LARGE_FLEET, true)]
 #[case::a_small_fleet_turned_away(3, false)]
 #[tokio::test(start_paused = true)]
 async fn a_process_that_hears_of_nothing_fails_closed(#[case] nodes: usize, #[case] frozen: bool) {
-    let fleet = fleet_of(nodes).await;
+    let fleet = start_fleet(nodes).await;
     sleep(Duration::from_secs(2)).await;
     let mut clients: Vec<Client> = (0..nodes)
         .map(|node| client(&fleet, node, BOUNDED_DATABASE, "key-1"))
@@ -222,7 +222,7 @@
     fleet.records.set_fault(Fault::Refusing);
     fleet
         .configuration
-        .send_replace(with_tenants(3, &BOTH[1..]));
+        .send_replace(with_tenants(3, &TENANTS[1..]));
     let removed = Instant::now();
     if frozen {
         fleet.freeze(&frozen_node, true);
@@ -249,17 +249,20 @@
 /// on. Those that asked it go elsewhere.
 #[tokio::test(start_paused = true)]
 async fn proofs_stay_young_while_followers_are_lost() {
-    let mut fleet = fleet_of(LARGE).await;
+    let mut fleet = start_fleet(LARGE_FLEET).await;
     sleep(Duration::from_secs(2)).await;
-    let roots: Vec<usize> = (0..LARGE)
+    let store_readers: Vec<usize> = (0..LARGE_FLEET)
         .filter(|node| fleet.nodes[*node].engine.following().is_direct())
         .collect();
-    assert!(roots.len() >= 2 && roots.len() < LARGE, "{roots:?}");
-    fleet.kill(roots[0]);
+    assert!(
+        store_readers.len() >= 2 && store_readers.len() < LARGE_FLEET,
+        "{store_readers:?}"
+    );
+    fleet.kill(store_readers[0]);
     fleet
         .records
-        .refuse_node(&fleet.nodes[roots[1]].name.clone(), true);
-    let lost: HashSet<usize> = roots[..2].iter().copied().collect();
+        .refuse_node(&fleet.nodes[store_readers[1]].name.clone(), true);
+    let lost: HashSet<usize> = store_readers[..2].iter().copied().collect();
     let mut worst = Duration::ZERO;
     for _ in 0..400 {
         sleep(Duration::from_millis(20)).await;
@@ -276,7 +279,7 @@
 
 /// Connections of all tenants together stay within the share of their process.
 #[tokio::test(start_paused = true)]
-async fn connections_make_room_for_those_of_other_tenants() {
+async fn connections_of_all_tenants_share_one_limit() {
     let tenants: Vec<String> = (0..40).map(|index| format!("tenant-{index}")).collect();
     let keys: Vec<[&str; 1]> = tenants.iter().map(|name| [name.as_str()]).collect();
     let declared: Vec<(&str, &[&str])> = tenants
@@ -285,7 +288,7 @@
         .map(|(name, keys)| (name.as_str(), keys.as_slice()))
         .collect();
     let fleet = Fleet::start_with(&["zone-a"], 1, policy()).await;
-    declare(&fleet, with_tenants(2, &declared)).await;
+    apply_configuration(&fleet, with_tenants(2, &declared)).await;
     for name in &tenants {
         let mut client = client(&fleet, 0, LEADER_DATABASE, name);
         let (id, reply) = client.ask_as(read("x")).await;
