--- a/crates/engine/tests/departures.rs
+++ b/crates/engine/tests/departures.rs
@@ -1,4 +1,4 @@
-//! Members that leave, or have left: for how long they may still be given work.
+//! Members that are leaving or gone: how long they may still receive statements.
 
 mod support;
 
@@ -14,8 +14,9 @@
 
 const GRACE: Duration = Duration::from_secs(4);
 
-/// Whether a member that leaves is past its use after `waited`, where its departure was
-/// learned of `unseen` after the entries had last said nothing of it.
+/// A departed member's grace period starts when the entries last did not show its departure,
+/// `unseen_ms` before it was learned of, since other processes may have known of it from then on.
+/// It has already ended for a member that is first seen while leaving.
 #[rstest]
 #[case::learned_at_once(Some(0), 3_900, false)]
 #[case::for_its_time(Some(0), 4_100, true)]
@@ -61,7 +62,7 @@
     }
 }
 
-/// Neither a repeated entry nor its disappearance makes a departure younger.
+/// Neither a repeated entry nor its removal resets the time of a departure.
 #[tokio::test(start_paused = true)]
 async fn a_departure_keeps_its_age() {
     let first = Departure::at(Instant::now());
@@ -83,7 +84,7 @@
     assert_eq!(state(&replaced), Some(MemberState::Gone(first)));
 }
 
-/// A server that is gone for good must not hold up changes of leader for ever.
+/// A server that is gone for good must not block changes of leader forever.
 #[tokio::test(start_paused = true)]
 async fn what_has_gone_long_ago_is_forgotten_with_the_next_change() {
     let now = Departure::at(Instant::now());
@@ -101,7 +102,7 @@
     assert!(directory.member("a").is_none());
 }
 
-/// What becomes of the entry of a server after it went away.
+/// What happens to a server's entry after it disappeared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EntryChange {
     Stays,
@@ -109,7 +110,7 @@
     Replaced,
 }
 
-/// Where an entry stands some time after the store is back, where it was away.
+/// Expected state of an entry that disappeared, some time later, if the store was away before.
 #[rstest]
 #[case::the_store_was_there(None, EntryChange::Stays, 0, "gone")]
 #[case::just_back(Some(0), EntryChange::Stays, 0, "lapsed")]
@@ -117,8 +118,8 @@
 #[case::missing_after_that(Some(0), EntryChange::Stays, 2_500, "gone")]
 #[case::learned_late(Some(1_500), EntryChange::Stays, 1_000, "gone")]
 #[case::long_after_the_return(Some(3_000), EntryChange::Stays, 0, "gone")]
-#[case::alive(Some(0), EntryChange::Returns, 1_500, "ready")]
-#[case::back_late(Some(0), EntryChange::Returns, 4_000, "ready")]
+#[case::returns(Some(0), EntryChange::Returns, 1_500, "ready")]
+#[case::returns_late(Some(0), EntryChange::Returns, 4_000, "ready")]
 #[case::replaced(Some(0), EntryChange::Replaced, 300, "gone")]
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_lapsed_with_the_store_is_expected_back(
@@ -137,7 +138,7 @@
     let mut directory = directory.with_entries(2, Vec::new(), departure);
     let lapsed = directory.member("a").map(|member| member.state);
     if lapsed.is_some_and(|state| state.takes_work()) {
-        // It is used as before, starts no promotion and dates no departure.
+        // The member is used as before, and neither a promotion nor a grace period starts.
         assert!(!is_use_expired(
             engine,
             lapsed.expect("one"),
@@ -163,7 +164,7 @@
     assert_eq!(directory.member("a").expect("one").state.name(), expected);
 }
 
-/// Others learn that an entry has lapsed, and for how long it is still expected back.
+/// Other processes learn that an entry has lapsed and how long it is still expected to return.
 #[tokio::test(start_paused = true)]
 async fn a_lapse_is_told_to_other_processes() {
     let fleet = Fleet::start(2).await;
--- a/crates/engine/tests/evacuation.rs
+++ b/crates/engine/tests/evacuation.rs
@@ -1,5 +1,5 @@
-//! Evacuated zones: what is sent there, until when, who leads, and what callers are told,
-//! under one failure at a time.
+//! Evacuation of zones under single failures: when the last statement is sent to the zone, which
+//! member leads, and what clients receive.
 
 mod support;
 
@@ -17,9 +17,9 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 const BOUND: Duration = Duration::from_secs(5);
-/// Zones of processes; servers `a`, `b`, `c` stand in those of their names.
+/// Zones of the processes; the servers `a`, `b` and `c` are in the zones named after them.
 const ZONES: &[&str] = &["zone-a", "zone-b", "zone-c"];
-/// Processes of a fleet that needs homes, and follows the store through a few.
+/// Size of a fleet that uses homes and follows the store through a few processes.
 const LARGE_FLEET: usize = 24;
 
 fn zones(names: &[&str]) -> BTreeSet<Arc<str>> {
@@ -34,7 +34,7 @@
     fleet
 }
 
-/// Lets the store acknowledge that exactly `names` are evacuated.
+/// Sets the evacuated zones in the store to `names`; returns when the store acknowledged that.
 fn evacuate(fleet: &Fleet, names: &[&str]) -> Instant {
     fleet.evacuations.send_modify(|evacuations| {
         evacuations.version += 1;
@@ -43,7 +43,7 @@
     Instant::now()
 }
 
-/// Reads and writes at one process, again and again.
+/// Spawns clients of one process that read and write continuously.
 fn spawn_load(fleet: &Fleet, node: usize) {
     let engine = Arc::clone(&fleet.nodes[node].engine);
     for database in [BOUNDED_DATABASE, OWN_DATABASE] {
@@ -64,13 +64,11 @@
     fleet.world.server(server).last_command
 }
 
-/// Waits well past the bound of a request acknowledged at `acknowledged`; when the last command has
-/// come to `server` after that.
-async fn last_command_after(fleet: &Fleet, server: &str, acknowledged: Instant) -> Duration {
-    sleep_until(acknowledged + BOUND * 2).await;
-    last_command(fleet, server).map_or(Duration::ZERO, |at| {
-        at.saturating_duration_since(acknowledged)
-    })
+/// Waits until well after the bound of a request acknowledged at `acked_at`; returns the time from
+/// then to the last command that reached `server`.
+async fn last_command_after(fleet: &Fleet, server: &str, acked_at: Instant) -> Duration {
+    sleep_until(acked_at + BOUND * 2).await;
+    last_command(fleet, server).map_or(Duration::ZERO, |at| at.saturating_duration_since(acked_at))
 }
 
 fn refusal_reason(reply: &Reply) -> FailureReason {
@@ -87,21 +85,21 @@
         }
         sleep(Duration::from_millis(50)).await;
     }
-    panic!("no write succeeds");
+    panic!("no write succeeded");
 }
 
-/// A leader that is well hands over, no commit is lost, and its server gets nothing more.
+/// A healthy leader hands over without losing commits, and its server receives nothing more.
 #[tokio::test(start_paused = true)]
 async fn leadership_moves_and_nothing_is_sent_after_the_bound() {
     let fleet = start_fleet(4).await;
     (0..4).for_each(|node| spawn_load(&fleet, node));
     sleep(Duration::from_secs(1)).await;
-    let acknowledged = evacuate(&fleet, &["zone-a"]);
+    let acked_at = evacuate(&fleet, &["zone-a"]);
     let group = fleet.nodes[0].engine.group(&Arc::from(GROUP));
     until(|| group.view().epoch == 1 && group.view().confirmed).await;
-    let moved = acknowledged.elapsed();
+    let moved = acked_at.elapsed();
     assert!(moved < BOUND.mul_f64(0.5), "{moved:?}");
-    let last = last_command_after(&fleet, "a", acknowledged).await;
+    let last = last_command_after(&fleet, "a", acked_at).await;
     assert!(last < BOUND.mul_f64(0.75), "{last:?}");
     assert_eq!(fleet.world.promotions().len(), 1);
     let (old, new) = (
@@ -114,13 +112,13 @@
     retry_write(&fleet, 1).await;
 }
 
-/// Reads leave the zone by degrees: not at once, and all of them in time.
+/// Reads leave the zone gradually, and all of them in time.
 #[tokio::test(start_paused = true)]
 async fn reads_leave_an_evacuated_zone_gradually() {
     let fleet = start_fleet(3).await;
     retry_write(&fleet, 0).await;
     sleep(Duration::from_millis(100)).await;
-    // The process in the zone of `b` reads there.
+    // The process in the zone of `b` reads from `b`.
     let mut client = fleet.session(1, BOUNDED_DATABASE);
     let mut count_reads_at_b = async |reads: usize| {
         let mut count = 0;
@@ -131,18 +129,18 @@
         count
     };
     assert_eq!(count_reads_at_b(20).await, 20);
-    let acknowledged = evacuate(&fleet, &["zone-b"]);
+    let acked_at = evacuate(&fleet, &["zone-b"]);
     sleep(Duration::from_millis(100)).await;
     let early = count_reads_at_b(40).await;
-    sleep_until(acknowledged + BOUND.mul_f64(0.25)).await;
+    sleep_until(acked_at + BOUND.mul_f64(0.25)).await;
     let late = count_reads_at_b(40).await;
-    sleep_until(acknowledged + BOUND.mul_f64(0.52)).await;
+    sleep_until(acked_at + BOUND.mul_f64(0.52)).await;
     assert!(early > 20, "{early} of 40");
     assert!((1..40).contains(&late), "{late} of 40");
     assert_eq!(count_reads_at_b(20).await, 0);
 }
 
-/// Reads that wait for the new leader don't make their processes ask the store.
+/// Reads that wait for the new leader don't make their processes query the store.
 #[tokio::test(start_paused = true)]
 async fn a_leader_evacuation_causes_few_store_calls() {
     let fleet = start_fleet(LARGE_FLEET).await;
@@ -173,13 +171,14 @@
     );
 }
 
-/// The holder of the lease dies after it has recorded the change: the next completes it.
+/// If the holder of the promotion lease dies after recording a change of leader, the next holder
+/// completes it.
 #[tokio::test(start_paused = true)]
 async fn a_change_whose_holder_dies_is_completed() {
     let mut fleet = start_fleet(4).await;
     (0..4).for_each(|node| spawn_load(&fleet, node));
     let holder = fleet.holder();
-    let acknowledged = evacuate(&fleet, &["zone-a"]);
+    let acked_at = evacuate(&fleet, &["zone-a"]);
     let key = TermRecord::key(&Arc::from(GROUP));
     until(|| {
         fleet
@@ -190,7 +189,7 @@
     .await;
     assert!(fleet.world.promotions().is_empty());
     fleet.kill(holder);
-    let last = last_command_after(&fleet, "a", acknowledged).await;
+    let last = last_command_after(&fleet, "a", acked_at).await;
     assert!(last < BOUND, "{last:?}");
     let other = (0..4).find(|node| *node != holder).expect("another");
     let known = fleet.nodes[other].engine.terms().known(&Arc::from(GROUP));
@@ -199,7 +198,7 @@
     retry_write(&fleet, other).await;
 }
 
-/// The process that tells another is cut off from it: it hears from others, in time.
+/// A process that is cut off from those that it polls learns of the evacuation from others in time.
 #[tokio::test(start_paused = true)]
 async fn a_process_that_is_cut_off_from_its_relays_learns_in_time() {
     let fleet = start_fleet(LARGE_FLEET).await;
@@ -216,20 +215,20 @@
             fleet.network().cut(&downstream.name, &node.name);
         }
     }
-    let acknowledged = evacuate(&fleet, &["zone-a"]);
+    let acked_at = evacuate(&fleet, &["zone-a"]);
     until(|| downstream.engine.evacuations().contains("zone-a")).await;
     assert!(
-        acknowledged.elapsed() < BOUND.mul_f64(0.6),
+        acked_at.elapsed() < BOUND.mul_f64(0.6),
         "{:?}",
-        acknowledged.elapsed()
+        acked_at.elapsed()
     );
-    let last = last_command_after(&fleet, "a", acknowledged).await;
+    let last = last_command_after(&fleet, "a", acked_at).await;
     assert!(last < BOUND, "{last:?}");
     let mut client = Client::open(&downstream.engine, BOUNDED_DATABASE);
     assert_ne!(seen(&client.read("x").await).0, "a");
 }
 
-/// The store answers a third of the processes no more: others tell them.
+/// Processes that the store no longer answers, a third of all, learn from the others.
 #[tokio::test(start_paused = true)]
 async fn processes_without_access_to_the_store_learn_from_others() {
     let fleet = start_fleet(LARGE_FLEET).await;
@@ -237,8 +236,8 @@
     for node in fleet.nodes.iter().step_by(3) {
         fleet.records.ignore_node(&node.name);
     }
-    let acknowledged = evacuate(&fleet, &["zone-a"]);
-    let last = last_command_after(&fleet, "a", acknowledged).await;
+    let acked_at = evacuate(&fleet, &["zone-a"]);
+    let last = last_command_after(&fleet, "a", acked_at).await;
     assert!(last < BOUND, "{last:?}");
     for node in &fleet.nodes {
         assert!(
@@ -249,8 +248,8 @@
     }
 }
 
-/// The store answers nobody: nobody can tell what is evacuated, and all refuse before the
-/// bound; they serve again with the store.
+/// While the store doesn't answer, no process can know whether a zone is evacuated, so all refuse
+/// statements before the bound. They serve again once the store answers.
 #[tokio::test(start_paused = true)]
 async fn all_processes_refuse_in_time_while_the_store_is_silent() {
     let fleet = start_fleet(3).await;
@@ -270,7 +269,7 @@
     retry_write(&fleet, 1).await;
 }
 
-/// A process that stands still over the bound sends nothing there when it goes on.
+/// A process that is frozen beyond the bound sends nothing to the zone when it resumes.
 #[tokio::test(start_paused = true)]
 async fn a_process_that_stood_still_over_the_bound_sends_nothing_there() {
     let fleet = start_fleet(4).await;
@@ -279,9 +278,9 @@
     assert!(resting.begin(false).await.outcome.is_ok());
     assert!(resting.write("x 1").await.outcome.is_ok());
     fleet.freeze("node-3", true);
-    let acknowledged = evacuate(&fleet, &["zone-a"]);
-    sleep_until(acknowledged + BOUND * 2).await;
-    // It goes on, and has not heard of anything yet.
+    let acked_at = evacuate(&fleet, &["zone-a"]);
+    sleep_until(acked_at + BOUND * 2).await;
+    // It resumes and has not learned of the evacuation yet.
     fleet.freeze("node-3", false);
     assert!(!fleet.nodes[3].engine.evacuations().contains("zone-a"));
     let mut fresh = fleet.session(3, BOUNDED_DATABASE);
@@ -292,13 +291,13 @@
         FailureReason::TransactionLost
     );
     sleep(Duration::from_secs(1)).await;
-    let last = last_command_after(&fleet, "a", acknowledged).await;
+    let last = last_command_after(&fleet, "a", acked_at).await;
     assert!(last < BOUND, "{last:?}");
     assert_ne!(seen(&fresh.read("x").await).0, "a");
     retry_write(&fleet, 3).await;
 }
 
-/// The zone is lost while it is evacuated: its leader is replaced as one that is lost.
+/// If the zone fails during its evacuation, its leader is replaced like any failed leader.
 #[tokio::test(start_paused = true)]
 async fn a_leader_that_crashes_during_its_evacuation_is_replaced() {
     let mut fleet = start_fleet(4).await;
@@ -307,20 +306,20 @@
     evacuate(&fleet, &["zone-a"]);
     sleep(Duration::from_millis(30)).await;
     fleet.world.crash("a");
-    // Processes stand in the zones in turn.
+    // Processes are assigned to the zones round-robin: these are in `zone-a`.
     [0, 3].into_iter().for_each(|node| fleet.kill(node));
     sleep(Duration::from_secs(4)).await;
     assert_ne!(fleet.world.leader(), "a");
     retry_write(&fleet, 1).await;
 }
 
-/// All processes start anew while a zone is evacuated: the set is read before anything is sent.
+/// After a restart of all processes, the evacuated zones are read before any statement is sent.
 #[tokio::test(start_paused = true)]
 async fn after_a_restart_of_all_nothing_is_sent_there() {
     let mut fleet = start_fleet(3).await;
     retry_write(&fleet, 0).await;
     (0..3).for_each(|node| fleet.kill(node));
-    let acknowledged = evacuate(&fleet, &["zone-a", "zone-b"]);
+    let acked_at = evacuate(&fleet, &["zone-a", "zone-b"]);
     sleep(BOUND).await;
     let names: Vec<String> = fleet.nodes.iter().map(|node| node.name.clone()).collect();
     fleet.nodes = names.iter().map(|name| fleet.respawn_node(name)).collect();
@@ -328,20 +327,20 @@
     sleep(Duration::from_secs(3)).await;
     for server in ["a", "b"] {
         let last = last_command(&fleet, server);
-        assert!(last.is_none_or(|at| at <= acknowledged), "{server}");
+        assert!(last.is_none_or(|at| at <= acked_at), "{server}");
     }
     assert_eq!(fleet.world.leader(), "c");
     retry_write(&fleet, 2).await;
 }
 
-/// Taken back halfway: reads return, the lead is where it is, and nobody is refused.
+/// If an evacuation is cancelled halfway, reads return, the leader stays and nothing is refused.
 #[tokio::test(start_paused = true)]
 async fn a_zone_serves_again_after_a_cancelled_evacuation() {
     let fleet = start_fleet(3).await;
     retry_write(&fleet, 0).await;
     sleep(Duration::from_millis(100)).await;
-    let acknowledged = evacuate(&fleet, &["zone-b"]);
-    sleep_until(acknowledged + BOUND.mul_f64(0.4)).await;
+    let acked_at = evacuate(&fleet, &["zone-b"]);
+    sleep_until(acked_at + BOUND.mul_f64(0.4)).await;
     evacuate(&fleet, &[]);
     let engine = &fleet.nodes[1].engine;
     until(|| engine.evacuations().zones.is_empty()).await;
@@ -355,7 +354,7 @@
     assert!(fleet.world.promotions().is_empty());
 }
 
-/// Two zones at once leave one member, which then leads and serves.
+/// If two zones are evacuated at once, the member in the third leads and serves.
 #[rstest]
 #[case::the_first_two("b", "c")]
 #[case::the_outer_two("c", "b")]
@@ -368,9 +367,9 @@
     (0..4).for_each(|node| spawn_load(&fleet, node));
     sleep(Duration::from_secs(1)).await;
     let other_zone = format!("zone-{other}");
-    let acknowledged = evacuate(&fleet, &["zone-a", &other_zone]);
+    let acked_at = evacuate(&fleet, &["zone-a", &other_zone]);
     for server in ["a", other] {
-        let last = last_command_after(&fleet, server, acknowledged).await;
+        let last = last_command_after(&fleet, server, acked_at).await;
         assert!(last < BOUND, "{server}: {last:?}");
     }
     assert_eq!(fleet.world.leader(), left);
@@ -378,7 +377,7 @@
     retry_write(&fleet, 0).await;
 }
 
-/// A home that hears of nothing sends nothing: what was forwarded to it goes to the next one.
+/// A home without recent updates sends nothing; statements forwarded to it go to the next one.
 #[rstest]
 #[case::the_first_home(0)]
 #[case::the_second_home(1)]
@@ -405,8 +404,8 @@
     }
 }
 
-/// Where no member may be used, or only the leader of an evacuated zone could, callers hear so
-/// at once.
+/// Statements are refused at once if no member may be used, or only a leader in an evacuated zone
+/// could run them.
 #[tokio::test(start_paused = true)]
 async fn statements_without_an_eligible_member_are_refused_at_once() {
     let fleet = start_fleet(3).await;
@@ -430,14 +429,14 @@
         "{:?}",
         asked.elapsed()
     );
-    // A member elsewhere that can't lead yet is waited for.
+    // Statements wait for a member elsewhere that can't lead yet.
     evacuate(&fleet, &["zone-a", "zone-b"]);
     sleep(Duration::from_secs(3)).await;
     retry_write(&fleet, 0).await;
     assert_eq!(fleet.world.leader(), "c");
 }
 
-/// A lead does not move to a member that lacks commits: it would come back into the zone.
+/// Leadership does not move to a member that lacks commits, since it would return to the zone.
 #[tokio::test(start_paused = true)]
 async fn leadership_waits_for_a_replica_that_is_behind() {
     let fleet = start_fleet(3).await;
@@ -453,58 +452,59 @@
     assert_eq!(fleet.world.leader(), "c");
 }
 
-/// A transaction that is open there is lost at the bound: it is told as not run, and is not.
+/// A transaction that is open on an evacuated server is lost at the bound: it is reported as not
+/// run, and has not run.
 #[tokio::test(start_paused = true)]
 async fn an_open_transaction_is_lost_and_told_so() {
     let fleet = start_fleet(3).await;
     retry_write(&fleet, 0).await;
-    let acknowledged = evacuate(&fleet, &["zone-a", "zone-b", "zone-c"]);
+    let acked_at = evacuate(&fleet, &["zone-a", "zone-b", "zone-c"]);
     let mut client = fleet.session(0, OWN_DATABASE);
     assert!(client.begin(false).await.outcome.is_ok());
     let mut ids = Vec::new();
-    while acknowledged.elapsed() < BOUND.mul_f64(0.55) {
+    while acked_at.elapsed() < BOUND.mul_f64(0.55) {
         let (id, reply) = client.ask_as(write("x 1")).await;
         assert!(reply.outcome.is_ok(), "{reply:?}");
         ids.push(id);
         sleep(Duration::from_millis(100)).await;
     }
-    sleep_until(acknowledged + BOUND.mul_f64(0.8)).await;
+    sleep_until(acked_at + BOUND.mul_f64(0.8)).await;
     let reply = client.commit().await;
     assert_eq!(refusal_reason(&reply), FailureReason::TransactionLost);
     let log = fleet.world.server("a").log;
     assert!(!log.iter().any(|entry| ids.contains(&entry.1)));
-    let last = last_command_after(&fleet, "a", acknowledged).await;
+    let last = last_command_after(&fleet, "a", acked_at).await;
     assert!(last < BOUND.mul_f64(0.75), "{last:?}");
 }
 
-/// A third of a large fleet hears of nobody any more, and reaches the servers still: nothing
-/// comes to the zone after the bound, from nobody.
+/// A third of a large fleet is cut off from the store and all other processes but still reaches the
+/// servers: nothing is sent to the zone after the bound.
 #[tokio::test(start_paused = true)]
 async fn a_third_of_the_fleet_that_is_cut_off_keeps_the_bound() {
     let fleet = start_fleet(LARGE_FLEET).await;
     (0..LARGE_FLEET).for_each(|node| spawn_load(&fleet, node));
     sleep(Duration::from_secs(1)).await;
-    // Some of each zone.
+    // Some processes of each zone.
     let is_cut = |index: usize| (index / ZONES.len()) % 3 == 2;
     for (index, node) in fleet.nodes.iter().enumerate().filter(|(i, _)| is_cut(*i)) {
         fleet.records.ignore_node(&node.name);
         let others = fleet.nodes.iter().enumerate().filter(|(i, _)| *i != index);
         others.for_each(|(_, other)| fleet.network().cut(&node.name, &other.name));
     }
-    let acknowledged = evacuate(&fleet, &["zone-a"]);
+    let acked_at = evacuate(&fleet, &["zone-a"]);
     let mut clients: Vec<Client> = (0..LARGE_FLEET)
         .filter(|index| !is_cut(*index))
         .map(|index| fleet.session(index, BOUNDED_DATABASE))
         .collect();
     let (mut asked, mut refused) = (0, 0);
-    while acknowledged.elapsed() < BOUND * 2 {
+    while acked_at.elapsed() < BOUND * 2 {
         for client in &mut clients {
             asked += 1;
             refused += usize::from(client.read("x").await.outcome.is_err());
         }
         sleep(Duration::from_millis(50)).await;
     }
-    let last = last_command_after(&fleet, "a", acknowledged).await;
+    let last = last_command_after(&fleet, "a", acked_at).await;
     println!("last command {last:?} after the acknowledgement; refused {refused} of {asked}");
     assert!(last < BOUND, "{last:?}");
     assert!(refused * 100 <= asked, "{refused} of {asked}");
--- a/crates/engine/tests/evacuation_regions.rs
+++ b/crates/engine/tests/evacuation_regions.rs
@@ -1,4 +1,4 @@
-//! Zones that are evacuated where statements may run in some regions only.
+//! Evacuation of zones combined with home regions.
 
 mod support;
 
@@ -15,7 +15,7 @@
 const BOUND: Duration = Duration::from_secs(5);
 const ZONES: &[&str] = &["zone-a", "zone-b", "zone-c"];
 
-/// Two of the servers stand in the north.
+/// Two of the three servers are in the north.
 fn regions(_: &str) -> HashMap<ZoneName, RegionName> {
     let of_zone = [
         ("zone-a", "north"),
@@ -26,7 +26,7 @@
     of_zone.iter().map(names).collect()
 }
 
-/// A configuration in which reads of one database may run in the north only.
+/// Creates a configuration that allows reads of one database only in the north.
 fn restrict_reads_to_north() -> Configuration {
     let mut next = configuration(1);
     next.version = 2;
@@ -40,8 +40,8 @@
     next
 }
 
-/// A member elsewhere that may be used is of no use where the home region is evacuated: the
-/// caller is told at once, and why.
+/// If all zones of the home region are evacuated, reads are refused at once with the reason, even
+/// though a member in another region is available.
 #[tokio::test(start_paused = true)]
 async fn reads_of_an_evacuated_home_region_are_refused_at_once() {
     let fleet = Fleet::start_bound(ZONES, 3, None, Some(BOUND), regions).await;
--- a/crates/engine/tests/evacuation_schedule.rs
+++ b/crates/engine/tests/evacuation_schedule.rs
@@ -1,5 +1,5 @@
-//! When nothing more is sent to evacuated zones, how many leaders move at a time, and what is
-//! told of it: decisions without a fleet.
+//! Evacuation without a fleet: deadlines of the schedule, number of concurrent leader changes, and
+//! fields of the events.
 
 use rstest::rstest;
 use serde_json::json;
@@ -18,7 +18,7 @@
     names.iter().map(|name| Arc::from(*name)).collect()
 }
 
-/// A schedule whose proof is told by hand.
+/// Creates a schedule, and the sender that sets the time of its last proof.
 fn schedule() -> (Schedule, watch::Sender<Option<Instant>>) {
     let proof = watch::Sender::new(None);
     (Schedule::new(Some(BOUND), proof.subscribe()), proof)
@@ -84,7 +84,7 @@
     assert_eq!(schedule.restored_at("zone-a"), None);
 }
 
-/// As many leaders move side by side as have to, so that the last change begins in time.
+/// Leaders are moved only as concurrently as needed for the last change to start in time.
 #[rstest]
 #[case::none(0, 3_000, 0)]
 #[case::one(1, 3_000, 1)]
@@ -104,7 +104,7 @@
     );
 }
 
-/// Whoever reads logs relies on the fields.
+/// Readers of logs rely on these fields.
 #[test]
 fn evacuation_events_have_their_fields() {
     let taken = Event::EvacuationsTaken {
--- a/crates/engine/tests/homes.rs
+++ b/crates/engine/tests/homes.rs
@@ -1,5 +1,5 @@
-//! Fleets of more processes than a member accepts connections from: homes, and following
-//! the store by way of other processes.
+//! Fleets with more processes than can connect to a member directly: homes, and following the
+//! store through other processes.
 
 mod support;
 
@@ -26,15 +26,15 @@
 };
 use tokio::time::{Instant, sleep, timeout};
 
-/// Processes of a fleet for which 34 connections of a member do not suffice.
+/// Fleet size at which the 34 connections that a member accepts are too few for direct connections.
 const LARGE_FLEET: usize = 20;
 
 async fn start_large_fleet() -> Fleet {
     start_large_fleet_in(&["zone-a"]).await
 }
 
-/// The processes that follow the store, once these are the first two of all and whoever holds the
-/// lease for promotions, and no others.
+/// Waits until only the two processes assigned to read the store, and the holder of the promotion
+/// lease, read it directly; returns the processes that do.
 async fn wait_for_store_readers(fleet: &Fleet) -> Vec<usize> {
     let is_direct = |node: &Node| node.engine.following().is_direct();
     let role_of = |node: &Node| {
@@ -60,7 +60,7 @@
     direct.map(|(index, _)| index).collect()
 }
 
-/// A large fleet whose processes stand in `zones` in turn.
+/// Starts a large fleet whose processes are assigned to `zones` round-robin.
 async fn start_large_fleet_in(zones: &'static [&'static str]) -> Fleet {
     let fleet = Fleet::start_in(zones, LARGE_FLEET).await;
     until(|| {
@@ -77,7 +77,7 @@
             .all(|node| node.engine.homes().fleet().len() == LARGE_FLEET)
     })
     .await;
-    // Connections that were opened before the fleet was known have ended.
+    // Until direct connections opened before the fleet was known are closed.
     sleep(Duration::from_secs(3)).await;
     fleet
 }
@@ -87,7 +87,7 @@
     Arc::clone(directory.member(name).expect("a member"))
 }
 
-/// The processes that hold the connections to `name`, by their place in the fleet.
+/// Returns the indices of the homes of the member `name`.
 fn homes_of(fleet: &Fleet, name: &str) -> Vec<usize> {
     let member = member(fleet, name);
     let candidates = fleet.nodes[0].engine.homes().candidates(&member);
@@ -96,7 +96,7 @@
     homes.map(|peer| place(peer).expect("a process")).collect()
 }
 
-/// A process that holds no connection to any member.
+/// Returns a process that is not a home of any member.
 fn uninvolved_node(fleet: &Fleet) -> usize {
     let taken: HashSet<usize> = ["a", "b", "c"]
         .iter()
@@ -107,7 +107,7 @@
         .expect("one")
 }
 
-/// What sessions whose statements may run anywhere reach `member` with.
+/// Returns the pool through which sessions without home regions reach `member`.
 fn session_pool(engine: &Engine, member: &Arc<Member>) -> Arc<MemberPool> {
     let topology = &engine.settings().topology;
     let anywhere = Residency::ANYWHERE.admit(topology, Arc::clone(member));
@@ -125,7 +125,7 @@
 #[case::nine_with_few_connections(16, Some(2), 9, false)]
 #[case::ninety(63, Some(3), 90, false)]
 #[case::many_connections_and_few_slots(225, Some(3), 68, false)]
-#[case::slots_that_are_not_told(225, None, 68, true)]
+#[case::unknown_slots(225, None, 68, true)]
 #[case::the_target(100, Some(8), 6_100, false)]
 fn direct_connections_depend_on_the_capacity(
     #[case] connections: usize,
@@ -169,11 +169,11 @@
     let all = peers(90);
     let ranked = rank(&all, &member);
     assert_eq!(ranked.len(), CANDIDATES_PER_MEMBER);
-    // The last one is elsewhere: it watches the member when the whole zone is cut off.
+    // The last candidate is in another zone and replaces the homes if the member's zone is cut off.
     let (outside, inside) = ranked.split_last().expect("candidates");
     assert!(inside.iter().all(|peer| peer.zone == member.zone));
     assert_ne!(outside.zone, member.zone);
-    // Who is not among the candidates may leave unnoticed.
+    // The loss of a process that is not a candidate changes nothing.
     let others: Vec<Peer> = all
         .iter()
         .filter(|p| !ranked.contains(p))
@@ -183,7 +183,7 @@
         let left: Vec<Peer> = all.iter().filter(|p| *p != gone).cloned().collect();
         assert_eq!(rank(&left, &member), ranked);
     }
-    // Where the first is gone the second follows.
+    // Without the first candidate, the others move up by one.
     let left: Vec<Peer> = all.iter().filter(|p| **p != ranked[0]).cloned().collect();
     let after = rank(&left, &member);
     assert_eq!(
@@ -191,7 +191,7 @@
         ranked[1..CANDIDATES_PER_MEMBER - 1]
     );
     assert_eq!(after[CANDIDATES_PER_MEMBER - 1], *outside);
-    // A zone that has too few is helped out by others, and the other way round.
+    // Missing candidates are taken from other zones, or from the member's zone.
     let of_zone = |zone: &str, count| {
         let peers = all.iter().filter(|peer| &*peer.zone == zone);
         peers.take(count).cloned().collect::<Vec<Peer>>()
@@ -210,8 +210,8 @@
     assert!(rank(&[], &member).is_empty());
 }
 
-/// The groups of one block stand beside one another, so that the store tells of all of them
-/// in one call; each group is in one block.
+/// Each group is in exactly one block. The groups of a block are adjacent in sorted order, so that
+/// one store call returns all of them.
 #[test]
 fn each_group_is_in_one_block() {
     let mut names: Vec<GroupName> = (0..9_500)
@@ -229,8 +229,7 @@
     assert_eq!(block_of(&[], "unknown"), None);
 }
 
-/// Evidence of all groups of a block comes with one call of the store, however many groups
-/// there are.
+/// One store call refreshes the evidence of all groups of a block.
 #[tokio::test(start_paused = true)]
 async fn evidence_of_a_block_comes_with_one_call() {
     let fleet = Fleet::start(1).await;
@@ -257,7 +256,7 @@
     assert_eq!(fleet.records.calls() - calls, 3);
 }
 
-/// A process with four times the processor does four times the work for others.
+/// A process with four times the cores is assigned four times as many tasks.
 #[tokio::test(start_paused = true)]
 async fn tasks_are_assigned_in_proportion_to_weight() {
     let fleet = Fleet::start(1).await;
@@ -276,7 +275,7 @@
         rank(&weighted, &member)[0].clone()
     });
     let share = first.filter(is_strong).count() as f64 / 4_000.0;
-    // 5 of 30 in the zone, of four times the weight: 20 of 45.
+    // Of the zone's 30 processes, 5 have four times the weight of the others: 20 of 45.
     assert!((share - 20.0 / 45.0).abs() < 0.03, "{share}");
 }
 
@@ -329,7 +328,7 @@
             assert_eq!(reply.rows[1..], [support::bytes(&told)]);
         }
     }
-    // What is written in a transaction is seen by nobody before its commit.
+    // Writes of a transaction are not visible before its commit.
     let before = fleet.world.server("a").log.len();
     assert!(first.begin(false).await.outcome.is_ok());
     assert!(first.write("x 1").await.outcome.is_ok());
@@ -340,7 +339,7 @@
     assert!(first.commit().await.outcome.is_ok());
     let after = fleet.world.server("a").log.len();
     assert!(after > before + 1);
-    // One that is rolled back, and one whose caller goes, leave nothing behind.
+    // A transaction that is rolled back, or whose client disconnects, has no effect.
     assert!(first.begin(false).await.outcome.is_ok());
     assert!(first.write("x 4").await.outcome.is_ok());
     assert!(first.rollback().await.outcome.is_ok());
@@ -352,7 +351,7 @@
     assert!(first.write("x 6").await.outcome.is_ok());
 }
 
-/// What becomes of a home while it runs a write.
+/// How a home fails while it runs a write.
 #[derive(Debug, Clone, Copy)]
 enum Loss {
     Killed,
@@ -360,7 +359,7 @@
     Cut,
 }
 
-/// A write that was forwarded to a home that is lost gets no promise, and is not repeated.
+/// A write forwarded to a home that fails is reported as `MayHaveRun` and is not retried.
 #[rstest]
 #[case::killed(Loss::Killed)]
 #[case::frozen(Loss::Frozen)]
@@ -391,7 +390,7 @@
     let (mut client, reply) = writing.await.expect("the write ends");
     assert_eq!(verdict(&reply), Some(Verdict::MayHaveRun), "{reply:?}");
     fleet.world.change("a", |server| server.slowness = 1);
-    // Others hold the connections now.
+    // Other processes are the homes now.
     let served = async {
         while client.write("x 2").await.outcome.is_err() {
             sleep(Duration::from_millis(20)).await;
@@ -405,7 +404,7 @@
     assert!(log.len() > before);
 }
 
-/// A home that is going to stop serves on what it has begun, and gets nothing new.
+/// A stopping home finishes its open transactions and receives no new statements.
 #[tokio::test(start_paused = true)]
 async fn a_stopping_home_hands_over_to_the_next() {
     let fleet = start_large_fleet().await;
@@ -424,7 +423,7 @@
     assert!(open.commit().await.outcome.is_ok());
 }
 
-/// With every other process out of reach, one connects by itself.
+/// A process that can't reach any other process connects to the member directly.
 #[tokio::test(start_paused = true)]
 async fn a_process_that_reaches_no_home_connects_directly() {
     let fleet = start_large_fleet().await;
@@ -443,7 +442,8 @@
         .expect("a write is acknowledged");
 }
 
-/// Requests of the highest rank go first at a home, whichever process they come from.
+/// Homes schedule the statements of all processes together: the highest rank first, and no more
+/// than the member can run.
 #[tokio::test(start_paused = true)]
 async fn homes_limit_the_load_of_the_whole_fleet() {
     let fleet = start_large_fleet().await;
@@ -467,7 +467,7 @@
         served += caller.await.expect("it ends");
     }
     assert!(served > 0);
-    // What the member could not take never reached it: its queue was not filled.
+    // Statements beyond the member's capacity were not sent to it: its queue never filled up.
     let in_use = |node: usize| {
         let engine = &fleet.nodes[node].engine;
         let pool = engine.pool(&member(&fleet, "a"));
@@ -477,7 +477,7 @@
     assert!(limits <= 28, "{limits}");
 }
 
-/// Most of a large fleet asks the store nothing, and knows of changes all the same.
+/// Most processes of a large fleet don't read the store, but learn of changes through others.
 #[tokio::test(start_paused = true)]
 async fn a_large_fleet_follows_the_store_through_a_few() {
     let mut fleet = start_large_fleet().await;
@@ -499,7 +499,7 @@
     let began = Instant::now();
     until(|| known(&fleet, 7) == LARGE_FLEET).await;
     assert!(began.elapsed() < Duration::from_millis(100));
-    // A change of leader is known everywhere: the homes have noticed the loss.
+    // The homes detect the crash, and all processes learn of the new leader.
     let history = Arc::new(History::default());
     let node = uninvolved_node(&fleet);
     history.spawn_caller(&fleet.nodes[node].engine, OWN_DATABASE, 0);
@@ -513,7 +513,7 @@
         views.all(|view| view.epoch == 1 && view.confirmed)
     })
     .await;
-    // Where those that follow are lost, the others go to the store themselves.
+    // Without the store readers, the other processes read the store themselves.
     for node in &store_readers {
         fleet.kill(*node);
     }
@@ -528,7 +528,7 @@
     .await;
 }
 
-/// Followers that are cut off from the store are not followed for long.
+/// Processes that the store refuses are soon no longer used as sources.
 #[tokio::test(start_paused = true)]
 async fn a_follower_that_the_store_turns_away_is_not_followed() {
     let fleet = start_large_fleet().await;
@@ -543,8 +543,8 @@
     assert!(began.elapsed() < Duration::from_secs(4));
 }
 
-/// A home that stood still, and wakes with what it believed before, breaks no promise while
-/// the leader is replaced.
+/// A home that is frozen during a change of leader and resumes with outdated state violates no
+/// consistency guarantee.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn a_home_that_resumes_with_stale_state_breaks_no_guarantee(#[values(0, 1)] which: usize) {
@@ -573,8 +573,8 @@
     assert!(commits > 20 && reads > 20, "{commits} {reads}");
 }
 
-/// A leader that is cut off together with its whole zone, and so with all of its homes, is
-/// replaced as soon as one that crashes.
+/// A leader that is cut off together with its whole zone, which includes its homes, is replaced
+/// as quickly as one that crashes.
 #[tokio::test(start_paused = true)]
 async fn a_leader_that_is_cut_off_with_its_zone_is_replaced_soon() {
     let fleet = start_large_fleet_in(&["zone-a", "zone-b", "zone-c"]).await;
@@ -605,8 +605,8 @@
     assert_eq!(history.violations(&fleet.world), Vec::<String>::new());
 }
 
-/// Where a whole fleet starts anew, what the earlier lives have told of themselves holds:
-/// nobody writes, and nobody is woken.
+/// After a restart of the whole fleet, the records that the processes wrote before remain valid:
+/// none is written again, so no process is notified of changes.
 #[tokio::test(start_paused = true)]
 async fn a_fleet_that_starts_anew_leaves_its_records_alone() {
     let mut fleet = start_large_fleet().await;
@@ -627,12 +627,13 @@
     until(|| fleet.nodes.iter().all(knows_fleet)).await;
     sleep(Duration::from_millis(900)).await;
     assert_eq!(versions(&fleet), before);
-    // Each reads the records once and follows them until it knows whom to follow.
+    // Each process reads the records once and watches them until it knows its sources.
     let each = (fleet.records.calls() - calls) / LARGE_FLEET as u64;
     assert!(each <= 4, "{each}");
 }
 
-/// Who goes back to the store goes on from what it was told: nothing is read in whole again.
+/// A process that falls back to the store resumes from the version that it got from other
+/// processes, without reading whole tables again.
 #[tokio::test(start_paused = true)]
 async fn a_process_that_goes_back_to_the_store_goes_on_from_what_it_knows() {
     let mut fleet = start_large_fleet().await;
@@ -645,7 +646,7 @@
     until(|| others.iter().all(|node| is_direct(&fleet, *node))).await;
     sleep(Duration::from_secs(1)).await;
     assert_eq!(fleet.records.whole_reads(), before);
-    // They know of what is written from then on.
+    // They learn of later writes.
     let key = "node/another";
     let store = fleet.records.for_node("another");
     let put = store.put_if(key, 0, bytes("x")).await;
@@ -657,8 +658,8 @@
     until(|| others.iter().all(knows)).await;
 }
 
-/// A home that has just started, and can't read the store yet, runs nothing for others: they
-/// go on to the next one, and take nothing of it for the member's fault.
+/// A home that has just started and has no directory yet runs no statements for other processes.
+/// They use the next candidate and don't count this as a failure of the member.
 #[tokio::test(start_paused = true)]
 async fn a_home_that_does_not_know_the_member_is_passed_over() {
     let fleet = start_large_fleet().await;
@@ -674,8 +675,8 @@
     }
 }
 
-/// An evidence reader that is cut off from everybody holds the others up for a moment only:
-/// they ask the one that follows.
+/// An evidence reader that is cut off from all processes delays them only briefly: they switch to
+/// the next candidate.
 #[tokio::test(start_paused = true)]
 async fn an_unreachable_evidence_reader_is_skipped() {
     let fleet = start_large_fleet().await;
@@ -683,10 +684,10 @@
         .node
         .to_string();
     let homes = homes_of(&fleet, "a");
-    // A home of the leader, which asks nobody else for evidence first.
+    // A home of the leader, which has no other source of evidence to ask first.
     let home = homes.iter().find(|home| fleet.nodes[**home].name != reader);
     let mut client = fleet.session(*home.expect("one"), LEADER_DATABASE);
-    // Nobody writes: all evidence is the store's, and the link to the evidence reader is open.
+    // Without writes, all evidence comes from the store. The link to the reader is open by now.
     assert!(slow_reads(&mut client, 20).await <= 1);
     for other in fleet.nodes.iter().filter(|node| node.name != reader) {
         fleet.network().cut(&reader, &other.name);
@@ -696,7 +697,7 @@
     assert!(slow <= 5, "{slow}");
 }
 
-/// Of `count` reads, one each tenth of a second, how many took long.
+/// Runs `count` reads with pauses of 100 ms; returns how many took longer than 60 ms.
 async fn slow_reads(client: &mut Client, count: usize) -> usize {
     let mut slow = 0;
     for _ in 0..count {
--- a/crates/engine/tests/pool.rs
+++ b/crates/engine/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to one member, shared.
+//! Connection pool of one member.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use support::servers::{World, WorldBackEnd};
 use tokio::time::{Instant, sleep};
 
-/// Connects after a while, and counts.
+/// Back end that connects after a delay and counts its attempts.
 #[derive(Debug)]
 struct SlowBackEnd {
     inner: WorldBackEnd,
@@ -69,7 +69,7 @@
     sleep(Duration::from_millis(100)).await;
     assert!(pool.acquire(&acquire_request, deadline_in(5)).await.is_ok());
     assert_eq!(opened(&back_end), 1);
-    // Nor does it count as a failure of the member.
+    // It does not count as a failure of the member either.
     assert_eq!(pool.health().unreachable_since(), None);
 }
 
@@ -188,7 +188,7 @@
 #[case::the_second(32, 8, 3)]
 #[case::one_process_alone(34, 1, 6)]
 #[case::more_processes_than_connections(34, 700, 2)]
-#[case::a_member_that_takes_few(4, 1, 2)]
+#[case::a_member_with_few_connections(4, 1, 2)]
 #[case::a_fleet_not_counted_yet(34, 0, 6)]
 fn a_members_connections_are_divided(
     #[case] accepted: usize,
@@ -198,7 +198,7 @@
     assert_eq!(connection_share(accepted, processes), share);
 }
 
-/// What waits for a connection is served by the rank of its route, then fairly between
+/// Requests that wait for a connection are served by the rank of their route, then fairly between
 /// databases.
 #[tokio::test(start_paused = true)]
 async fn a_released_connection_goes_to_the_highest_rank() {
@@ -236,8 +236,8 @@
     assert_eq!(order, ["high", "low", "also low", "low"]);
 }
 
-/// A member that has no room for one more connection of this process gets one for each that
-/// is closed.
+/// If the member accepts no further connection, the pool closes an idle one of another tenant, so
+/// that the next request can connect.
 #[tokio::test(start_paused = true)]
 async fn a_crowded_member_gets_a_connection_for_one_that_is_closed() {
     let (world, _back_end, pool) = pool(Duration::ZERO);
--- a/crates/engine/tests/rate.rs
+++ b/crates/engine/tests/rate.rs
@@ -1,5 +1,5 @@
-//! Rate limits over the whole fleet: never exceeded by more than they may be, and nobody
-//! refused below them.
+//! Fleet-wide rate limits: they are exceeded by no more than the permitted excess, and no tenant
+//! below its limit is refused.
 
 mod support;
 
@@ -23,7 +23,7 @@
     excess: 0.1,
     slack: 20.0,
 };
-/// Processes of a fleet that needs homes, in three zones.
+/// Size of a fleet that uses homes, in three zones.
 const LARGE_FLEET: usize = 21;
 const ZONES: &[&str] = &["zone-a", "zone-b", "zone-c"];
 const TENANT: &str = "busy";
@@ -52,7 +52,7 @@
     apply_configuration(&fleet, with_limit(2, limit)).await;
     let counted = |shard| fleet.records.get(&format!("lease/rate-{shard}")).is_some();
     until(|| (0..SHARD_COUNT).all(counted)).await;
-    // Buckets fill up to what they hold.
+    // Until the buckets are full.
     sleep(Duration::from_secs(4)).await;
     fleet
 }
@@ -69,7 +69,7 @@
     .await;
 }
 
-/// The processes that count a shard now.
+/// Returns the processes that currently hold a counter lease.
 fn counter_nodes(fleet: &Fleet) -> Vec<usize> {
     let lease = |shard: usize| {
         let record = fleet.records.get(&format!("lease/rate-{shard}"));
@@ -80,7 +80,7 @@
     let holds_lease = |name: &str| {
         let is_named = |lease: &String| {
             let mut matches = lease.match_indices(name);
-            // "node-1" is not "node-11".
+            // "node-1" must not match "node-11".
             matches.any(|(at, _)| {
                 let next = lease.as_bytes().get(at + name.len());
                 next.is_none_or(|byte| !byte.is_ascii_digit())
@@ -93,7 +93,7 @@
         .collect()
 }
 
-/// Most runs in any span of the window's length.
+/// Maximum number of statements in any time span as long as the window.
 fn busiest_window(runs: &[Instant], window: Duration) -> usize {
     let mut most = 0;
     let mut first = 0;
@@ -106,8 +106,8 @@
     most
 }
 
-/// Callers that ask at each process every `pause`, over and over. Those of a process end with
-/// it.
+/// Clients that send a read to each process every `pause`. Those of a process end when it is
+/// killed.
 struct Load {
     pause: Duration,
     callers: Vec<JoinSet<()>>,
@@ -149,7 +149,7 @@
     }
 }
 
-/// What strikes the fleet while a tenant asks for many times its limit.
+/// Disruption of the fleet while a tenant requests many times its limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Disruption {
     Nothing,
@@ -182,7 +182,7 @@
     let busiest = busiest_window(&runs, BOUNDS.window);
     let most = BOUNDS.max_operations(limit);
     assert!(busiest as f64 <= most, "{busiest} of {most}");
-    // The tenant has what it may have, where nothing keeps it from that.
+    // The tenant can also use its whole limit.
     let least = limit.per_second * BOUNDS.window.as_secs_f64();
     assert!(busiest as f64 > least, "{busiest} of {least}");
 }
@@ -227,7 +227,7 @@
             };
             let lowered = Instant::now();
             apply_configuration(fleet, with_limit(3, lower)).await;
-            // The time in which changes of the configuration may take, and a permit's life.
+            // Time within which configuration changes apply, plus the lifetime of a permit.
             sleep(Duration::from_millis(3_200)).await;
             let from = Instant::now();
             sleep(Duration::from_secs(10)).await;
@@ -241,8 +241,8 @@
     }
 }
 
-/// A tenant that asks for five eighths of its limit, from all processes, with and without one
-/// of the counters.
+/// A tenant at five eighths of its limit, spread over all processes, is never refused, even if
+/// one of the counters fails.
 #[rstest]
 #[case::all_counters(false)]
 #[case::one_is_lost(true)]
@@ -275,7 +275,7 @@
     assert!(refused.is_empty(), "{refused:?}");
 }
 
-/// Beyond the limit a request is refused at once, with the time to come back.
+/// Requests beyond the limit are refused immediately, with a time to retry after.
 #[tokio::test(start_paused = true)]
 async fn a_refusal_is_immediate_and_has_a_retry_time() {
     let limit = RateLimit {
@@ -328,7 +328,7 @@
     assert_eq!(taken_at(&mut bucket, began + Duration::from_secs(2)), 10);
     assert_eq!(taken_at(&mut bucket, began + Duration::from_secs(5)), 1);
     assert_eq!(taken_at(&mut bucket, began + Duration::from_secs(6)), 1);
-    // More holds at once.
+    // An increase takes effect immediately.
     let now = began + Duration::from_secs(6);
     bucket.set_share(share(10.0, 10.0, 0.0), now, now + Duration::from_secs(9));
     assert_eq!(taken_at(&mut bucket, now + Duration::from_secs(1)), 10);
@@ -337,7 +337,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However tokens are asked for, no span has more of them than the bucket allows.
+    /// For any sequence of requests, no time span contains more tokens than the bucket allows.
     #[test]
     fn no_span_of_a_bucket_has_more_than_it_allows(
         pauses_ms in prop::collection::vec(0_u64..400, 1..300),
@@ -363,8 +363,8 @@
     }
 }
 
-/// The fleet's side of the sum, with counters that take over and permits that are used as late
-/// as they may be. What the buckets grant is asked for at every moment.
+/// Simulates the counters of all shards with takeovers and with permits that are used as late as
+/// possible, for a tenant that takes every available token. Returns the maximum per window.
 fn busiest_window_of_model(
     limit: RateLimit,
     permit_lifetime: Duration,
@@ -386,7 +386,7 @@
     for count in 0..3_200_u64 {
         let now = began + step * u32::try_from(count).expect("small");
         if let Some(place) = takeovers.iter().position(|at| *at == count) {
-            // Only the first of those that come together begins with tokens.
+            // Of several takeovers in quick succession, only the first has initial tokens.
             let new_share = match place == 0 || always_initial {
                 true => shares,
                 false => without_initial,
@@ -395,8 +395,8 @@
                 .map(|_| TokenBucket::new(new_share, now))
                 .collect();
         }
-        // After a rest the tenant asks for all that there is; permits granted in the last
-        // life are all used at its end.
+        // After an idle time the tenant takes all available tokens. Permits granted in the first
+        // lifetime are all used at its end.
         let is_requesting = count >= 1_600;
         for bucket in &mut buckets {
             while is_requesting && bucket.take(now).is_ok() {
@@ -427,11 +427,11 @@
     assert!(busiest <= BOUNDS.max_operations(limit), "{busiest}");
 }
 
-/// Mistakes that the sum must show: permits that last for long, and counters that all begin
-/// with tokens, however short the one before has counted.
+/// The simulation detects injected bugs: permits that are valid for too long, and takeovers that
+/// always have initial tokens, however short the previous one lasted.
 #[rstest]
-#[case::all_begin_with_tokens(true, 1)]
-#[case::permits_last_for_long(false, 12)]
+#[case::takeovers_always_have_initial_tokens(true, 1)]
+#[case::permits_are_valid_for_long(false, 12)]
 fn injected_bugs_exceed_the_limit(#[case] always_initial: bool, #[case] lifetimes: u32) {
     let limit = RateLimit {
         per_second: 196.0,
@@ -447,9 +447,9 @@
     assert!(busiest > BOUNDS.max_operations(limit), "{busiest}");
 }
 
-/// All counters are turned away by the store, or hear nothing of it, while it serves the
-/// others: they are replaced little later than their leases lapse, and nobody waits for long
-/// meanwhile.
+/// The store refuses all counters, or doesn't answer them, but serves the other processes. The
+/// counters are replaced shortly after their leases expire, and no request waits for long until
+/// then.
 #[rstest]
 #[case::refused(false)]
 #[case::not_answered(true)]
