--- a/crates/engine/tests/rate_partial.rs
+++ b/crates/engine/tests/rate_partial.rs
@@ -1,5 +1,5 @@
-//! Rate limits while a part of their counters is lost: whoever reaches the others is served,
-//! and the bound holds with both sides of a cut going on.
+//! Rate limits while some of the counters are lost: processes that reach the others are served,
+//! and the limit holds while both sides of a network partition grant permits.
 
 mod support;
 
@@ -26,11 +26,11 @@
     burst: 32.0,
 };
 const ZONES: &[&str] = &["zone-a", "zone-b", "zone-c"];
-/// Processes, seven in each zone.
+/// Number of processes, seven in each zone.
 const LARGE_FLEET: usize = 21;
 const THIRD_OF_FLEET: usize = LARGE_FLEET / 3;
 const KEY: &[u8] = b"key-busy";
-/// Longest time in which an operation has its permit, or is refused, while counters are lost.
+/// Maximum time until an operation has its permit or is refused while counters are lost.
 const PERMIT_WAIT: Duration = Duration::from_millis(120);
 
 fn tenant() -> Arc<Tenant> {
@@ -41,7 +41,8 @@
     })
 }
 
-/// A fleet whose counters have held their leases for longer than a window and a lease.
+/// Starts a fleet and waits until its counters have held their leases for longer than a window
+/// plus a lease.
 async fn start_fleet() -> Fleet {
     let policy = TenantPolicy {
         revocation: Duration::from_secs(5),
@@ -59,7 +60,7 @@
     fleet
 }
 
-/// The process that counts `shard` now.
+/// Returns the process that currently counts `shard`.
 fn counter_of(fleet: &Fleet, shard: usize) -> Option<usize> {
     let mut nodes = 0..fleet.nodes.len();
     nodes.find(|node| {
@@ -68,7 +69,7 @@
     })
 }
 
-/// A third of the processes, among them the counters of `shards` of the shards.
+/// Returns a third of the processes, among them the counters of the first `shards` shards.
 fn third_of_fleet(fleet: &Fleet, shards: usize) -> Vec<usize> {
     let counters: Vec<usize> = (0..SHARD_COUNT)
         .filter_map(|s| counter_of(fleet, s))
@@ -80,7 +81,7 @@
     third
 }
 
-/// How processes are lost.
+/// How processes fail.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Loss {
     Cut,
@@ -101,7 +102,7 @@
     }
 }
 
-/// Cuts a process from the store and from all others but those of `side`.
+/// Cuts a process off from the store and from all other processes except those in `side`.
 fn isolate(fleet: &Fleet, node: usize, side: &[usize]) {
     let name = &fleet.nodes[node].name;
     fleet.records.refuse_node(name, true);
@@ -118,16 +119,16 @@
     }
 }
 
-/// What came of one operation that asked for a permit.
+/// Outcome of one permit request.
 #[derive(Debug)]
 struct PermitOutcome {
-    /// Since the load began.
+    /// Time since the start of the load.
     at: Duration,
     took: Duration,
     refusal: Option<FailureReason>,
 }
 
-/// Operations at `nodes` in turn, at five eighths of the limit, for `time`.
+/// Requests permits at `nodes` in turn, at five eighths of the limit, for `time`.
 async fn run_normal_load(fleet: &Fleet, nodes: &[usize], time: Duration) -> Vec<PermitOutcome> {
     let pause = Duration::from_secs(1).div_f64(LIMIT.per_second * 0.625);
     let began = Instant::now();
@@ -158,18 +159,18 @@
     refused.filter(|refusal| **refusal == reason).count()
 }
 
-/// Time for which buckets and successors serve a tenant at five eighths of its limit while half
-/// of the counters are lost, though zones ask their own counters first.
+/// Time for which the remaining buckets and new counters cover a tenant at five eighths of its
+/// limit while half of the counters are lost, although zones ask their own counters first.
 const COVERED_TIME: Duration = Duration::from_secs(3);
 
-/// A third of the fleet is lost, with half of the counters, or two of three where there are
-/// three: whoever is at the others has its permits in time, and hardly misses any until the
-/// leases have lapsed.
+/// A third of the fleet is lost, including half of the counters (two if there are three). Clients
+/// of the other processes get their permits in time and are hardly ever refused until the leases
+/// have expired.
 #[rstest]
-#[case::isolate(Loss::Cut)]
+#[case::cut(Loss::Cut)]
 #[case::killed(Loss::Killed)]
 #[case::frozen(Loss::Frozen)]
-#[case::turned_away_by_the_store(Loss::RefusedByStore)]
+#[case::refused_by_the_store(Loss::RefusedByStore)]
 #[tokio::test(start_paused = true)]
 async fn lost_counters_delay_no_permit(#[case] loss: Loss) {
     let mut fleet = start_fleet().await;
@@ -198,9 +199,9 @@
     assert!(slow.is_empty(), "{slow:?}");
 }
 
-/// A zone of three is lost: a tenant at five eighths of its limit misses nothing.
+/// One of three zones is lost: a tenant at five eighths of its limit is never refused.
 #[rstest]
-#[case::isolate(Loss::Cut)]
+#[case::cut(Loss::Cut)]
 #[case::killed(Loss::Killed)]
 #[case::frozen(Loss::Frozen)]
 #[tokio::test(start_paused = true)]
@@ -224,10 +225,10 @@
     assert!(slow.is_empty(), "{slow:?}");
 }
 
-/// All counters are lost at once: their successors grant what buckets begin with within a
-/// second, long before the leases have lapsed.
+/// All counters are lost at once: within a second, long before the leases have expired, the new
+/// counters grant the initial tokens of their buckets.
 #[rstest]
-#[case::isolate(Loss::Cut)]
+#[case::cut(Loss::Cut)]
 #[case::killed(Loss::Killed)]
 #[case::frozen(Loss::Frozen)]
 #[tokio::test(start_paused = true)]
@@ -246,12 +247,12 @@
     let all = early.iter().chain(&later);
     let granted = all.filter(|one| one.refusal.is_none()).count();
     let first = BOUNDS.share(LIMIT).initial.floor() * SHARD_COUNT as f64;
-    // One sixth may be left in a bucket that nobody had time to find.
+    // One of the six buckets may not be found in time, so its tokens may remain unused.
     assert!(granted as f64 >= first * 0.8, "{granted} of {first}");
 }
 
-/// A counter that is lost has a successor once its lease has lapsed, though nobody asks for
-/// permits: the candidates are told of each renewal.
+/// A lost counter is replaced when its lease has expired even if no permits are requested, since
+/// each renewal is announced to the candidates.
 #[tokio::test(start_paused = true)]
 async fn a_lost_counter_is_replaced_without_requests() {
     let mut fleet = start_fleet().await;
@@ -266,7 +267,7 @@
     assert!(left.any(counts));
 }
 
-/// No process is to count two shards, so that the loss of one costs no more than a sixth.
+/// No process counts two shards, so that the loss of one process affects at most one sixth.
 #[tokio::test(start_paused = true)]
 async fn each_shard_has_its_own_counter() {
     let fleet = start_fleet().await;
@@ -282,8 +283,8 @@
     }
 }
 
-/// A process that is cut off knows no leader. That is what its callers are told, not that no
-/// counter answers, which nobody has had time to find out.
+/// A process that is cut off and knows no leader reports that to its clients. It does not report
+/// that no counter answers, since there was no time to find that out.
 #[tokio::test(start_paused = true)]
 async fn a_process_without_a_leader_reports_that_before_requesting_a_permit() {
     let fleet = start_fleet().await;
@@ -300,7 +301,7 @@
     assert_eq!(failure.reason, FailureReason::NoLeader);
 }
 
-/// Callers read milliseconds: the shortest wait that a refusal tells is one.
+/// The retry time is sent to clients in milliseconds, so it must be at least one.
 #[tokio::test(start_paused = true)]
 async fn the_retry_time_is_at_least_a_millisecond() {
     let fleet = start_fleet().await;
@@ -318,7 +319,7 @@
     assert!(*shortest >= Duration::from_millis(1), "{shortest:?}");
 }
 
-/// Most grants in any span of the window's length.
+/// Maximum number of permits granted in any time span as long as the window.
 fn busiest_window(grants: &[Instant]) -> usize {
     let mut grants = grants.to_vec();
     grants.sort();
@@ -333,7 +334,7 @@
     most
 }
 
-/// Asks for permits all the time, as long as the process is not frozen.
+/// Requests permits continuously, while the process is not frozen.
 async fn request_continuously(engine: Arc<Engine>, granted: Arc<Mutex<Vec<Instant>>>) {
     loop {
         let deadline = Instant::now() + Duration::from_secs(1);
@@ -346,12 +347,12 @@
     }
 }
 
-/// The tenant asks for many times its limit on both sides of a cut, while counters freeze and
-/// thaw, and while the successors of counters are lost in their turn.
+/// The limit holds for a tenant that requests many times as much on both sides of a network
+/// partition, while counters freeze and resume, and when their replacements fail too.
 #[rstest]
 #[case::cut_and_healed(Loss::Cut, 1)]
-#[case::frozen_and_thawed(Loss::Frozen, 1)]
-#[case::turned_away(Loss::RefusedByStore, 1)]
+#[case::frozen_and_resumed(Loss::Frozen, 1)]
+#[case::refused_by_the_store(Loss::RefusedByStore, 1)]
 #[case::cut_twice(Loss::Cut, 2)]
 #[case::frozen_three_times(Loss::Frozen, 3)]
 #[tokio::test(start_paused = true)]
@@ -380,25 +381,26 @@
     assert!(busiest as f64 <= most, "{busiest} of {most}");
 }
 
-/// What a model of the takeovers gets wrong.
+/// Bug injected into the simulation of takeovers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum InjectedBug {
     None,
-    /// A successor's buckets are filled before the lease before has lapsed.
+    /// A new counter's buckets are refilled before the previous lease has expired.
     RefillsImmediately,
-    /// Each successor begins with tokens, however short the one before has counted.
+    /// Each new counter has initial tokens, however short the previous one has counted.
     AlwaysInitialTokens,
-    /// A successor begins with tokens a window after the one before did.
+    /// A new counter has initial tokens if the previous one started a window ago.
     InitialTokensAfterWindow,
 }
 
-/// How long nobody asks, so that buckets are full.
+/// Time without requests at the start, which fills the buckets.
 const IDLE_TIME: Duration = Duration::from_millis(3_900);
-/// How long the counter that was replaced goes on, from the takeover.
+/// How long a replaced counter continues to grant permits after the takeover.
 const REMAINING_LEASE: Duration = Duration::from_millis(5_200);
 
-/// Most grants of a window where each shard is taken over at each of `takeovers`, and whoever
-/// was replaced goes on granting until its lease ends. All that is granted is used at once.
+/// Simulates all shards with a takeover of each at all `takeovers`, where replaced counters
+/// continue to grant permits until their leases expire and permits are used immediately. Returns
+/// the maximum number of grants per window.
 fn busiest_window_of_model(limit: RateLimit, takeovers: &[Duration], bug: InjectedBug) -> usize {
     let began = Instant::now();
     let share = BOUNDS.share(limit);
@@ -417,7 +419,7 @@
                     InjectedBug::InitialTokensAfterWindow => BOUNDS.window,
                     _ => BOUNDS.window + REMAINING_LEASE,
                 };
-                // The first counters have counted for long.
+                // The first counters have been counting for long enough.
                 let has_initial = now - counts_since >= least || counts_since == began;
                 counts_since = now;
                 let new_share = BucketShare {
@@ -455,8 +457,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// However often and when successors come, with the ones before still granting, the sum
-    /// holds.
+    /// The limit holds for any number and times of takeovers while previous counters still grant.
     #[test]
     fn the_sum_holds_with_takeovers_before_leases_lapse(
         steps in prop::collection::btree_set(1_u64..1_600, 0..6),
@@ -472,11 +473,11 @@
     }
 }
 
-/// Mistakes that the sum must show.
+/// The simulation detects injected bugs.
 #[rstest]
-#[case::buckets_that_fill_at_once(InjectedBug::RefillsImmediately)]
-#[case::successors_that_all_begin_with_tokens(InjectedBug::AlwaysInitialTokens)]
-#[case::successors_a_window_apart(InjectedBug::InitialTokensAfterWindow)]
+#[case::buckets_are_refilled_immediately(InjectedBug::RefillsImmediately)]
+#[case::takeovers_always_have_initial_tokens(InjectedBug::AlwaysInitialTokens)]
+#[case::takeovers_a_window_apart(InjectedBug::InitialTokensAfterWindow)]
 fn injected_bugs_in_takeovers_exceed_the_limit(#[case] bug: InjectedBug) {
     let takeovers = match bug {
         InjectedBug::InitialTokensAfterWindow => vec![1_000, 6_100, 11_200],
@@ -495,8 +496,8 @@
     );
 }
 
-/// A bucket that is not filled yet grants what it begins with, and tells of the time until it
-/// is filled.
+/// A bucket whose refill has not started yet grants its initial tokens, then reports the time until
+/// the next token.
 #[tokio::test(start_paused = true)]
 async fn initial_tokens_are_available_before_the_refill_starts() {
     let share = BucketShare {
--- a/crates/engine/tests/regions.rs
+++ b/crates/engine/tests/regions.rs
@@ -1,4 +1,4 @@
-//! A fleet that stands in several regions: where reads go, and who may hold connections.
+//! A fleet in several regions: where reads go, and which processes are homes.
 
 mod support;
 
@@ -23,7 +23,7 @@
 use support::{BOUNDED_DATABASE, Fleet, LEADER_DATABASE, seen, until};
 use tokio::time::{Instant, sleep};
 
-/// Zones of the processes, one in each; servers stand in `zone-a`, `zone-b` and `zone-c`.
+/// Zones of the processes, one process in each; the servers are in `zone-a`, `zone-b` and `zone-c`.
 const ZONES: &[&str] = &["zone-a", "zone-b", "zone-c", "zone-d"];
 /// The processes in the south.
 const SOUTHERN: &[usize] = &[2, 3];
@@ -44,8 +44,8 @@
     Fleet::start_in_regions(ZONES, ZONES.len(), None, regions).await
 }
 
-/// The servers that run 40 bounded reads of one process, a tenth of a second apart: what is
-/// known of the others is forgotten meanwhile.
+/// Returns the servers that run 40 bounded reads of one process. Between the reads are 100 ms, so
+/// that measurements of the other servers expire.
 async fn read_servers(fleet: &Fleet, node: usize) -> BTreeSet<String> {
     let mut client = fleet.session(node, BOUNDED_DATABASE);
     let mut servers = BTreeSet::new();
@@ -57,14 +57,14 @@
 }
 
 #[rstest]
-#[case::beside_its_member(2, &["c"])]
+#[case::in_the_zone_of_a_member(2, &["c"])]
 #[case::in_a_zone_without_members(3, &["c"])]
-#[case::beside_the_leader(0, &["a", "b"])]
+#[case::in_the_leaders_zone(0, &["a", "b"])]
 #[case::in_the_leaders_region(1, &["a", "b"])]
 #[tokio::test(start_paused = true)]
 async fn reads_stay_in_the_region(#[case] node: usize, #[case] allowed: &[&str]) {
     let fleet = start_fleet().await;
-    // Slower than is assumed of members of which nothing is known, so that these look better.
+    // Slower than the default for members without measurements, so that those look better.
     for server in ["a", "b", "c"] {
         fleet.world.change(server, |server| server.slowness = 8);
     }
@@ -75,7 +75,7 @@
     assert!(!outside, "{servers:?}");
 }
 
-/// The member of the region answers late: reads in the region's other zone go elsewhere.
+/// If the region's member is slow, reads from the other zone of the region go to another region.
 #[tokio::test(start_paused = true)]
 async fn reads_leave_the_region_where_its_members_are_slow() {
     let fleet = start_fleet().await;
@@ -101,8 +101,8 @@
     assert_ne!(seen(&client.read("x").await).0, "c");
 }
 
-/// The regions lose each other: reads go on as long as it is known what they must show, are
-/// refused as not run after that, and nobody is promoted.
+/// While the regions are partitioned, reads continue as long as it is known which commits they must
+/// show. After that they are refused as not run. No member is promoted.
 #[tokio::test(start_paused = true)]
 async fn a_region_that_is_cut_off_reads_on_for_a_while() {
     let fleet = start_fleet().await;
@@ -127,7 +127,9 @@
         sleep(Duration::from_millis(100)).await;
     }
     let reply = southern.read("x").await;
-    let failure = reply.outcome.expect_err("it is not known what to show");
+    let failure = reply
+        .outcome
+        .expect_err("it is unknown which commits to show");
     assert_eq!(failure.verdict, Verdict::NotRun);
     fleet.network().heal();
     SOUTHERN
@@ -152,7 +154,7 @@
     }
 }
 
-/// As many processes in each of `zones`.
+/// Returns `count` processes in each of `zones`.
 fn peers_in(zones: &[&str], count: usize) -> Vec<Peer> {
     let ids = zones
         .iter()
@@ -170,7 +172,7 @@
     Topology::new(Arc::from("zone-a"), regions(""))
 }
 
-/// Twenty members of each zone: the last candidate is of the other zone of its region.
+/// For 20 members of each zone, the last candidate is in the other zone of the same region.
 #[test]
 fn the_candidate_outside_the_zone_is_in_the_same_region() {
     let fleet = peers_in(ZONES, 6);
@@ -187,8 +189,8 @@
     }
 }
 
-/// A member whose region has no other zone has its last candidate elsewhere, and one whose
-/// region has no process is reached through others all the same.
+/// If a member's region has no other zone, the last candidate is in another region. If the region
+/// has no process, all candidates are.
 #[test]
 fn candidates_come_from_another_region_if_necessary() {
     let fleet = peers_in(&["zone-a", "zone-c"], 6);
@@ -199,8 +201,8 @@
     assert_eq!(candidates.len(), CANDIDATES_PER_MEMBER);
 }
 
-/// Evidence readers are chosen near the members whose evidence they read; one that is lost is
-/// replaced by another of the same region.
+/// Evidence readers are in the region of the members whose evidence they read, and so are the
+/// candidates that replace them.
 #[tokio::test(start_paused = true)]
 async fn evidence_readers_are_in_the_region_of_the_members() {
     let fleet = start_fleet().await;
@@ -217,11 +219,11 @@
     assert_eq!(nowhere, homes.evidence_readers(0));
 }
 
-/// The old leader `a` was in the north; `b` is there too, `c` is not.
+/// The previous leader `a` was in the north, as is `b`; `c` is in the south.
 #[rstest]
-#[case::equal_logs_to_the_region(7, 7, MemberState::Ready, "b")]
+#[case::the_same_region_for_equal_logs(7, 7, MemberState::Ready, "b")]
 #[case::a_longer_log_first(7, 8, MemberState::Ready, "c")]
-#[case::one_that_stays_first(7, 7, MemberState::Leaving(Departure::at(Instant::now())), "c")]
+#[case::members_that_stay_first(7, 7, MemberState::Leaving(Departure::at(Instant::now())), "c")]
 #[tokio::test(start_paused = true)]
 async fn the_previous_leaders_region_breaks_ties_between_successors(
     #[case] northern: u64,
@@ -271,7 +273,7 @@
     assert_eq!(&*chosen, expected);
 }
 
-/// Where there is one region, or none is known, candidates and costs are as without regions.
+/// With a single region, or if none is known, candidates and costs are the same as without regions.
 #[test]
 fn a_single_region_has_no_effect() {
     let fleet = peers_in(ZONES, 6);
--- a/crates/engine/tests/residency.rs
+++ b/crates/engine/tests/residency.rs
@@ -1,4 +1,4 @@
-//! Home regions: at which members statements arrive, and through which processes they pass.
+//! Home regions: which members statements reach and which processes forward them.
 
 mod support;
 
@@ -24,21 +24,21 @@
 };
 use tokio::time::{Instant, sleep};
 
-/// Processes of a fleet that needs homes.
+/// Size of a fleet that uses homes.
 const LARGE_FLEET: usize = 20;
-/// Zones of the processes; servers stand in `zone-a`, `zone-b` and `zone-c`.
+/// Zones of the processes; the servers are in `zone-a`, `zone-b` and `zone-c`.
 const ZONES: &[&str] = &["zone-a", "zone-b", "zone-c", "zone-d"];
-/// Zones of which the north has one only: the last candidate for its server is elsewhere.
+/// Zones with only one in the north, so that the last candidate for its server is in the south.
 const ONE_NORTHERN_ZONE: &[&str] = &["zone-a", "zone-c", "zone-d", "zone-d"];
 const NORTH: &[&str] = &["north"];
 const SOUTH: &[&str] = &["south"];
 const BOTH: &[&str] = &["north", "south"];
-/// The server in the south.
+/// Servers in the south.
 const SOUTHERN: &[&str] = &["c"];
 /// Servers in the north.
 const NORTHERN: &[&str] = &["a", "b"];
 
-/// The regions as they are: two zones in each.
+/// The correct regions, with two zones in each.
 fn regions(_: &str) -> HashMap<ZoneName, RegionName> {
     let of_zone = [
         ("zone-a", "north"),
@@ -50,14 +50,14 @@
     of_zone.iter().map(names).collect()
 }
 
-/// The same, but for a zone of servers that every process takes for a northern one.
+/// The same, except that a southern zone with a server is assigned to the north.
 fn regions_with_misplaced_servers(node: &str) -> HashMap<ZoneName, RegionName> {
     let mut regions = regions(node);
     regions.insert(Arc::from("zone-c"), Arc::from("north"));
     regions
 }
 
-/// The same, but for a zone of processes only.
+/// The same, except that a southern zone with processes only is assigned to the north.
 fn regions_with_misplaced_processes(node: &str) -> HashMap<ZoneName, RegionName> {
     let mut regions = regions(node);
     regions.insert(Arc::from("zone-d"), Arc::from("north"));
@@ -68,7 +68,7 @@
     Residency::in_regions(regions.iter().map(|region| Arc::from(*region)))
 }
 
-/// A configuration of `version` whose databases have these home regions.
+/// Creates a configuration of `version` with the home regions of each database in `homes`.
 fn with_home_regions(version: u64, homes: &[(&str, &[&str])]) -> Configuration {
     let mut next = Configuration {
         version,
@@ -84,7 +84,7 @@
     next
 }
 
-/// All databases with the same home regions.
+/// Creates a configuration that restricts all databases to the same home regions.
 fn restrict_all_to(version: u64, regions: &'static [&'static str]) -> Configuration {
     let databases = [LEADER_DATABASE, BOUNDED_DATABASE, OWN_DATABASE];
     with_home_regions(version, &databases.map(|database| (database, regions)))
@@ -94,7 +94,7 @@
     start_fleet_with_regions(ZONES, nodes, next, regions).await
 }
 
-/// A fleet in `zones` whose processes are told `regions`, with the configuration `next`.
+/// Starts a fleet in `zones` whose processes are configured with `regions`, and applies `next`.
 async fn start_fleet_with_regions(
     zones: &'static [&'static str],
     nodes: usize,
@@ -115,13 +115,13 @@
         })
     })
     .await;
-    // Connections that were opened before the fleet was known have ended.
+    // Until direct connections opened before the fleet was known are closed.
     sleep(Duration::from_secs(3)).await;
     apply_configuration(&fleet, next).await;
     fleet
 }
 
-/// Puts a configuration into the store and waits until every process uses it.
+/// Writes a configuration to the store and waits until every process uses it.
 async fn apply_configuration(fleet: &Fleet, next: Configuration) {
     let version = next.version;
     fleet.configuration.send_replace(next);
@@ -132,7 +132,7 @@
     until(|| fleet.nodes.iter().all(uses)).await;
 }
 
-/// The reason for which a request was refused that has not run.
+/// Returns the reason if a request was refused; its verdict must be not run.
 fn reason(reply: &Reply) -> Option<FailureReason> {
     let failure = reply.outcome.as_ref().err()?;
     assert_eq!(failure.verdict, Verdict::NotRun);
@@ -145,11 +145,11 @@
         .is_some_and(|region| &**region == "north")
 }
 
-/// A statement and the process to which its caller was connected.
+/// The index of the process to which the client was connected, and the ID of the statement.
 type SentStatement = (usize, String);
 
-/// Where statements that the north alone may see have been elsewhere: arrivals at servers, and
-/// frames to processes other than the one that was asked.
+/// Returns all servers and processes outside the north that received a statement of `asked`, except
+/// the process to which its client was connected.
 fn residency_violations(fleet: &Fleet, asked: &[SentStatement]) -> Vec<String> {
     let zone_of = |name: &str| {
         let node = fleet.nodes.iter().find(|node| node.name == name);
@@ -166,7 +166,7 @@
     found
 }
 
-/// Processes of southern zones, by their place in the fleet.
+/// Returns the indices of the processes in southern zones.
 fn southern_nodes(fleet: &Fleet) -> Vec<usize> {
     let is_southern = |node: &Node| !is_northern(&node.engine.settings().zone);
     let nodes = fleet.nodes.iter().enumerate();
@@ -174,7 +174,7 @@
     southern.map(|(place, _)| place).collect()
 }
 
-/// The candidates for the server called `name`, by their place in the fleet.
+/// Returns the indices of the candidates for the server `name`.
 fn candidates_of(fleet: &Fleet, name: &str) -> Vec<usize> {
     let directory = fleet.nodes[0].engine.directory();
     let member = directory.member(name).expect("a member");
@@ -184,7 +184,7 @@
     places.map(|place| place.expect("a process")).collect()
 }
 
-/// A southern process that is a candidate for no server.
+/// Returns a southern process that is not a candidate for any server.
 fn southern_uninvolved_node(fleet: &Fleet) -> usize {
     let taken: Vec<usize> = ["a", "b", "c"]
         .iter()
@@ -227,7 +227,8 @@
     }
 }
 
-/// The leader stands elsewhere: nothing that only it can run is waited for, or sent.
+/// If the leader is outside the home regions, statements that only it can run are neither sent nor
+/// queued.
 #[rstest]
 #[case::a_write(LEADER_DATABASE, write("x 1"))]
 #[case::a_read_of_the_leader(LEADER_DATABASE, read("x"))]
@@ -251,7 +252,7 @@
     }
 }
 
-/// A region that no zone belongs to rules every member out, and nothing else is lost.
+/// A home region without zones excludes every member, and affects no other database.
 #[tokio::test(start_paused = true)]
 async fn an_unknown_region_affects_only_its_own_database() {
     let homes: &[(&str, &[&str])] = &[(BOUNDED_DATABASE, &["nowhere"])];
@@ -268,7 +269,7 @@
 #[case::of_the_route(NORTH, BOTH, Some(NORTHERN))]
 #[case::of_the_tenant(&[], NORTH, Some(NORTHERN))]
 #[case::of_both(BOTH, SOUTH, Some(SOUTHERN))]
-#[case::that_no_region_meets(NORTH, SOUTH, None)]
+#[case::without_a_common_region(NORTH, SOUTH, None)]
 #[tokio::test(start_paused = true)]
 async fn the_regions_of_route_and_tenant_are_intersected(
     #[case] route: &[&str],
@@ -306,8 +307,8 @@
     }
 }
 
-/// All processes of the zone of a member are lost: its fourth candidate may stand elsewhere.
-/// A process that may pass nothing on connects itself.
+/// If all processes in a member's zone are lost, its fourth candidate may be in another region. A
+/// process that may not forward to any candidate connects directly.
 #[tokio::test(start_paused = true)]
 async fn no_candidate_elsewhere_follows_where_homes_are_lost() {
     let next = restrict_all_to(2, NORTH);
@@ -332,8 +333,8 @@
     }
 }
 
-/// Each candidate in the home region knows nothing of the member yet: a statement goes from one
-/// to the next, and not on to the one elsewhere.
+/// If no candidate in the home region knows the member yet, a statement is forwarded from one to
+/// the next, but not to the candidate in another region.
 #[tokio::test(start_paused = true)]
 async fn no_candidate_elsewhere_replaces_homes_that_lack_the_member() {
     let next = restrict_all_to(2, NORTH);
@@ -357,7 +358,7 @@
     let (id, reply) = client.ask_as(read("x")).await;
     assert!(reply.outcome.is_ok() || reason(&reply).is_some());
     let asked = fleet.peers.processes_passed(&id);
-    // One may have been passed over before, for a question of the process itself.
+    // One may be skipped, since it already failed for a request of the process itself.
     assert!(asked.len() > 1, "{asked:?}");
     assert_eq!(
         residency_violations(&fleet, &[(node, id)]),
@@ -365,7 +366,7 @@
     );
 }
 
-/// A session is open: its next statement goes by the newest regions, wherever it stands.
+/// The next statement of an open session follows the newest regions.
 #[tokio::test(start_paused = true)]
 async fn a_change_binds_open_sessions() {
     let fleet = start_fleet(LARGE_FLEET, restrict_all_to(2, SOUTH)).await;
@@ -384,7 +385,7 @@
     assert!(client.read("x").await.outcome.is_ok());
 }
 
-/// What comes next in a transaction whose member's region was taken away.
+/// An open transaction is lost if the region of its member is removed, whatever is sent next.
 #[rstest]
 #[case::a_statement(read("x"))]
 #[case::the_commit(Statement::Commit)]
@@ -398,7 +399,7 @@
     client.begin(false).await;
     assert!(client.write("x 1").await.outcome.is_ok());
     apply_configuration(&fleet, restrict_all_to(3, SOUTH)).await;
-    // It is not sent where the transaction is still open.
+    // The session value is not sent to the member on which the transaction is still open.
     client.set("region", "south").await;
     let (id, reply) = client.ask_as(next).await;
     assert_eq!(reason(&reply), Some(FailureReason::OutsideHomeRegions));
@@ -412,8 +413,7 @@
     assert_eq!(commits, 0, "the write was rolled back");
 }
 
-/// The member stays allowed, and the processes that the transaction may have gone through
-/// do not.
+/// The member is still allowed, but processes that may have forwarded the transaction are not.
 #[tokio::test(start_paused = true)]
 async fn an_open_transaction_ends_if_its_homes_are_no_longer_allowed() {
     let fleet = start_fleet(LARGE_FLEET, restrict_all_to(2, BOTH)).await;
@@ -425,7 +425,7 @@
     assert_eq!(reason(&reply), Some(FailureReason::OutsideHomeRegions));
 }
 
-/// Opens transactions at `client`'s process until a read there has to wait; returns them.
+/// Opens transactions at `node` until a read has to wait for a connection; returns their clients.
 async fn use_all_connections(fleet: &Fleet, node: usize) -> Vec<Client> {
     let mut open = Vec::new();
     for _ in 0..64 {
@@ -436,10 +436,10 @@
         }
         open.push(client);
     }
-    panic!("connections do not end");
+    panic!("reads never have to wait");
 }
 
-/// A statement waits for a connection, here or at a home, while the regions change.
+/// The regions change while a statement waits for a connection, at its process or at a home.
 #[rstest]
 #[case::here(4)]
 #[case::at_a_home(LARGE_FLEET)]
@@ -456,7 +456,7 @@
     drop(open);
     let (id, reply) = waiting.await.expect("a reply");
     assert!(reply.outcome.is_ok(), "{reply:?}");
-    // It waited at a southern home while that was one.
+    // It waited at a southern home while the south was allowed.
     let servers = fleet.world.servers_reached(&id);
     let is_northern = |server: &String| NORTHERN.contains(&server.as_str());
     assert!(
@@ -465,7 +465,7 @@
     );
 }
 
-/// All processes end and start anew: the regions are in the configuration, and nothing else.
+/// After a restart of all processes, the regions are known only from the configuration.
 #[tokio::test(start_paused = true)]
 async fn statements_stay_in_the_home_region_after_a_fleet_restart() {
     let mut fleet = start_fleet(LARGE_FLEET, restrict_all_to(2, NORTH)).await;
@@ -484,7 +484,7 @@
     assert_eq!(residency_violations(&fleet, &ids), Vec::<String>::new());
 }
 
-/// The store is silent: processes go on with the regions that they know.
+/// While the store doesn't answer, processes apply the regions that they know.
 #[tokio::test(start_paused = true)]
 async fn regions_apply_while_the_store_is_silent() {
     let fleet = start_fleet(LARGE_FLEET, restrict_all_to(2, NORTH)).await;
@@ -499,7 +499,7 @@
     assert_eq!(residency_violations(&fleet, &ids), Vec::<String>::new());
 }
 
-/// A process that has not heard of a region's removal: the home that knows it refuses.
+/// If a process has not learned that a region was removed, a home that has refuses its statements.
 #[tokio::test(start_paused = true)]
 async fn a_home_with_newer_regions_refuses_with_verdict_not_run() {
     let fleet = start_fleet(LARGE_FLEET, restrict_all_to(2, BOTH)).await;
@@ -526,8 +526,8 @@
     );
 }
 
-/// Statements of all kinds, while members and homes fail at random; where they have been
-/// outside the north, and how many were served.
+/// Runs statements of all kinds while members and homes fail at random. Returns the residency
+/// violations and the number of statements that succeeded.
 async fn run_with_random_faults(fleet: &mut Fleet, seed: u64, kills: bool) -> (Vec<String>, usize) {
     let mut rng = StdRng::seed_from_u64(seed);
     let callers = southern_nodes(fleet);
@@ -586,19 +586,19 @@
     assert!(served > 40, "{served}");
 }
 
-/// What happens to the members in the north before a read.
+/// Fault of the northern members before a read.
 #[derive(Debug, Clone, Copy)]
 enum MemberFault {
-    /// None: the read goes to the nearest.
+    /// The read goes to the nearest member.
     None,
-    /// The first that is asked is silent: the read is sent to a second one.
+    /// The members don't answer: the read is also sent to a second one.
     Silent,
-    /// They refuse: the read goes on to another.
+    /// The members refuse: the read is retried at another one.
     Busy,
 }
 
-/// Planted mistake: processes take a member elsewhere for one in the home region. It is found
-/// by whichever way leads there.
+/// Injected bug: processes consider a member in another region to be in the home region. The
+/// violation is detected on each path by which a read can get there.
 #[rstest]
 #[case::a_first_try(MemberFault::None, 2)]
 #[case::a_second_try_of_a_silent_read(MemberFault::Silent, 0)]
@@ -625,8 +625,8 @@
     }
 }
 
-/// Planted mistake: a process takes others for ones in the home region. It is found once these
-/// follow as homes.
+/// Injected bug: processes in another region are considered to be in the home region. The violation
+/// is detected once these replace the homes.
 #[tokio::test(start_paused = true)]
 async fn a_home_outside_the_region_is_detected() {
     for (regions, is_injected) in [
