--- a/crates/engine/tests/slow_start.rs
+++ b/crates/engine/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Cold members: in no second do they get more than they take, whatever becomes of those who
-//! send, and what others can run goes to others.
+//! Slow start: a cold member never receives more than its limit per second, whatever failures occur
+//! among the processes that send to it, and statements that other members can run go to those.
 
 mod support;
 
@@ -25,15 +25,15 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-/// Processes of a fleet that connect by themselves.
+/// Size of a fleet whose processes connect directly.
 const SMALL_FLEET: usize = 6;
-/// Processes of a fleet that needs homes.
+/// Size of a fleet that uses homes.
 const LARGE_FLEET: usize = 20;
-/// Statements that a cold member takes in a second.
+/// Maximum number of statements per second to a cold member.
 const LIMIT: usize = 30;
-/// How long a member is cold.
+/// How long a member stays cold.
 const COLD_DURATION: Duration = Duration::from_secs(30);
-/// Time after which processes with old knowledge send nothing: twice the contact time.
+/// Age of its view of the records beyond which a process sends nothing: twice the contact time.
 const MAX_RECORD_AGE: Duration = Duration::from_secs(8);
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -59,18 +59,18 @@
     .await;
 }
 
-/// A fleet whose group has a slow start; no member is cold.
+/// Starts a fleet whose group has a slow start; no member is cold.
 async fn start_fleet(nodes: usize) -> Fleet {
     let fleet = Fleet::start(nodes).await;
     let knows_all = |node: &support::Node| node.engine.homes().fleet().len() == nodes;
     until(|| fleet.nodes.iter().all(knows_all)).await;
     apply_configuration(&fleet, slow_start(2, LIMIT as f64)).await;
-    // Connections that were opened before the fleet was known have ended.
+    // Until direct connections opened before the fleet was known are closed.
     sleep(Duration::from_secs(3)).await;
     fleet
 }
 
-/// Lets the entry of `member` say that it is cold; returns once all processes know it.
+/// Marks `member` as cold in its directory entry, and waits until all processes know it.
 async fn make_cold(fleet: &Fleet, member: &str) {
     let cold_until = Instant::now() + COLD_DURATION;
     fleet
@@ -85,7 +85,7 @@
     known.is_some_and(|member| member.cold_until.is_some_and(|at| at > Instant::now()))
 }
 
-/// The shares of `member` in the store.
+/// Returns the shares of `member` from the store.
 fn shares(fleet: &Fleet, member: &str) -> Option<Shares> {
     let record = fleet.records.get(&Allotments::key(GROUP))?;
     let allotments = Allotments::decode(&record)?;
@@ -93,14 +93,14 @@
     Some(allotment.shares.clone())
 }
 
-/// Makes the other servers so slow that reads prefer `member`.
+/// Slows down the other servers so that reads prefer `member`.
 fn slow_down_others(fleet: &Fleet, member: &str) {
     for other in ["a", "b", "c"].into_iter().filter(|name| *name != member) {
         fleet.world.change(other, |server| server.slowness = 12);
     }
 }
 
-/// Waits until `member` has shares, and every process may have heard of them.
+/// Waits until `member` has shares and every process has had time to learn of them.
 async fn wait_for_shares(fleet: &Fleet, member: &str) -> Shares {
     until(|| shares(fleet, member).is_some()).await;
     sleep(SECOND * 2).await;
@@ -118,7 +118,7 @@
         .collect()
 }
 
-/// When a server has run statements, to the millisecond.
+/// Records when a server ran statements, with a resolution of a millisecond.
 struct StatementTimes {
     at: Arc<Mutex<Vec<Instant>>>,
     task: JoinHandle<()>,
@@ -145,7 +145,7 @@
         self.at.lock().unwrap().len()
     }
 
-    /// The most in any second.
+    /// Maximum number of statements in any second.
     fn max_per_second(&self) -> usize {
         max_per_second(&self.at.lock().unwrap())
     }
@@ -165,14 +165,14 @@
     at.iter().map(within).max().unwrap_or(0)
 }
 
-/// Callers at every process that ask without a pause.
+/// Clients that send statements with pauses of 5 ms.
 struct Load {
     tasks: Vec<JoinHandle<()>>,
     replies: Arc<Mutex<Vec<Reply>>>,
 }
 
 impl Load {
-    /// `callers` at each of `nodes`; they write, or read.
+    /// Starts `callers` clients at each of `nodes`, which either all write or all read.
     fn start(fleet: &Fleet, nodes: &[usize], callers: usize, writes: bool) -> Self {
         let replies: Arc<Mutex<Vec<Reply>>> = Arc::default();
         let database = match writes {
@@ -228,7 +228,7 @@
         "{} in a second",
         runs.max_per_second()
     );
-    assert!(runs.count() > 0, "it is not used at all");
+    assert!(runs.count() > 0, "the cold member is not used at all");
     let refused = replies.iter().filter(|reply| reply.outcome.is_err());
     assert_eq!(refused.count(), 0, "of {}", replies.len());
 }
@@ -250,18 +250,21 @@
         "{} in a second",
         runs.max_per_second()
     );
-    // Most of what may be sent is.
+    // At least half of the permitted statements are sent.
     assert!(
         runs.count() >= 6 * LIMIT / 2,
         "{} in six seconds",
         runs.count()
     );
-    assert!(fleet.world.promotions().is_empty(), "cold is not lost");
+    assert!(
+        fleet.world.promotions().is_empty(),
+        "a cold leader was replaced"
+    );
     let failures: Vec<_> = replies
         .iter()
         .filter_map(|r| r.outcome.as_ref().err())
         .collect();
-    assert!(!failures.is_empty(), "more is asked than it takes");
+    assert!(!failures.is_empty(), "the load does not exceed the limit");
     for failure in failures {
         assert_eq!(failure.verdict, Verdict::NotRun, "{failure:?}");
         let told = failure
@@ -277,10 +280,14 @@
     apply_configuration(&fleet, slow_start(3, 2.0)).await;
     make_cold(&fleet, "a").await;
     let shares = wait_for_shares(&fleet, "a").await;
-    assert_eq!(shares.values().sum::<usize>(), 1, "one is left to orders");
+    assert_eq!(
+        shares.values().sum::<usize>(),
+        1,
+        "one is reserved for control commands"
+    );
     let mut client = fleet.session(0, LEADER_DATABASE);
     assert!(client.write("x").await.outcome.is_ok());
-    // The next place is free a window later, and an offer may wait for 336 ms.
+    // The next statement is allowed one window later, but a statement may wait for only 336 ms.
     let asked = Instant::now();
     let refused = client
         .write("x")
@@ -298,7 +305,7 @@
     assert!(client.write("x").await.outcome.is_ok());
     assert!(
         asked.elapsed() > Duration::from_millis(100),
-        "it has waited"
+        "the write did not wait"
     );
 }
 
@@ -353,7 +360,7 @@
     make_cold(&fleet, "a").await;
     wait_for_shares(&fleet, "a").await;
     let homes = homes_of(&fleet, "a");
-    // Half of the fleet sees the one home, half the other.
+    // Half of the fleet reaches only one home, the other half only the other.
     for node in 0..LARGE_FLEET {
         let lost = homes[node % 2];
         if lost != node {
@@ -401,7 +408,7 @@
         "{} in a second",
         runs.max_per_second()
     );
-    assert!(runs.count() > before, "the other home goes on");
+    assert!(runs.count() > before, "the other home stopped sending");
 }
 
 #[tokio::test(start_paused = true)]
@@ -425,7 +432,10 @@
         "{} in a second",
         runs.max_per_second()
     );
-    assert!(runs.count() > before, "the shares are in the store");
+    assert!(
+        runs.count() > before,
+        "the shares were not restored from the store"
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -440,7 +450,7 @@
     sleep(MAX_RECORD_AGE + SECOND).await;
     let as_of = fleet.nodes[home].engine.slow_starts().records_as_of();
     assert!(as_of.expect("known before").elapsed() > MAX_RECORD_AGE);
-    // The store is cut off when it goes on: nothing tells it that its share still holds.
+    // It is cut off from the store when it resumes and can't confirm that its share is still valid.
     for other in &fleet.nodes {
         fleet.network().cut(&name, &other.name);
     }
@@ -463,11 +473,15 @@
     fleet.records.set_fault(Fault::Silent);
     sleep(SECOND * 3).await;
     let early = runs.count();
-    assert!(early > 0, "what is known is recent enough");
+    assert!(early > 0, "recent records were not used");
     sleep(MAX_RECORD_AGE).await;
     let late = runs.count();
     sleep(SECOND * 3).await;
-    assert_eq!(runs.count(), late, "nothing on old knowledge");
+    assert_eq!(
+        runs.count(),
+        late,
+        "statements were sent based on outdated records"
+    );
     load.stop();
     assert!(runs.max_per_second() <= LIMIT);
 }
@@ -484,7 +498,7 @@
     assert_eq!(runs.count(), 0);
     assert!(
         replies.iter().any(|reply| reply.outcome.is_ok()),
-        "others run reads"
+        "no read succeeded on the other members"
     );
 }
 
@@ -518,7 +532,7 @@
         .get(&Allotments::key(GROUP))
         .expect("shares")
         .version;
-    assert_eq!(now, calls, "nothing is written anew");
+    assert_eq!(now, calls, "the shares were written again");
 }
 
 #[tokio::test(start_paused = true)]
@@ -549,7 +563,7 @@
     engine.set_evacuations(evacuations(6, &[]));
     wait_for_shares(&fleet, "b").await;
     let runs = StatementTimes::record(&fleet.world, "b");
-    // Nothing else can run it.
+    // No other member is reachable.
     fleet.network().cut(&fleet.nodes[0].name, "a");
     fleet.network().cut(&fleet.nodes[0].name, "c");
     let load = Load::start(&fleet, &[0], 20, false);
@@ -582,13 +596,17 @@
     sleep(SECOND * 2).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     assert!(client.write("x").await.outcome.is_ok());
-    // The store turns it away: a zone may be evacuated, and used again, without its knowledge.
+    // While the store refuses it, a zone may be evacuated and restored without its knowledge.
     fleet.records.refuse_node(&name, true);
     sleep(Duration::from_secs(4)).await;
     assert!(client.write("x").await.outcome.is_ok());
     let runs = StatementTimes::record(&fleet.world, "a");
     sleep(Duration::from_secs(2)).await;
-    let refused = client.write("x").await.outcome.expect_err("it may be cold");
+    let refused = client
+        .write("x")
+        .await
+        .outcome
+        .expect_err("the leader may be cold");
     assert_eq!(refused.verdict, Verdict::NotRun);
     assert_eq!(runs.count(), 0);
     fleet.records.refuse_node(&name, false);
@@ -598,7 +616,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_member_is_not_told_to_be_warm_too_early() {
-    // What is left is told by another process, over a link that takes its time.
+    // The remaining time is sent by another process, over a link with latency.
     let fleet = start_fleet(LARGE_FLEET).await;
     make_cold(&fleet, "b").await;
     let told = fleet.world.server("b").cold_until.expect("cold");
@@ -633,7 +651,7 @@
     assert!(["a", "b", "c"].contains(&server.as_str()));
 }
 
-/// What operators read of a share.
+/// Operators rely on these fields.
 #[test]
 fn the_slow_start_event_has_its_fields() {
     let event = Event::SlowStart {
@@ -649,21 +667,21 @@
     assert_eq!(written, expected);
 }
 
-/// What strikes a fleet while a member is cold.
+/// Disruption of the fleet while a member is cold.
 #[derive(Debug, Clone, Copy)]
 enum Disruption {
     None,
-    /// Two processes no longer see one another.
+    /// Two processes can't reach each other.
     Cut(usize, usize),
-    /// A process is killed, and another life of it starts.
+    /// A process is killed and restarted.
     Replace(usize),
-    /// The store turns a process away.
+    /// The store refuses a process.
     Refuse(usize),
-    /// A process stands still for a while.
+    /// A process is frozen for a while.
     Freeze(usize),
-    /// The store says nothing.
+    /// The store doesn't answer.
     Silence,
-    /// All of it is over.
+    /// All disruptions end.
     Heal,
 }
 
@@ -687,7 +705,7 @@
         Disruption::Cut(one, other) => fleet.network().cut(&name(one), &name(other)),
         Disruption::Replace(node) => {
             let name = name(node);
-            // What stands still on links of the earlier life would reach that one later.
+            // Frames held back on the links of the killed process would reach it later.
             fleet.freeze(&name, false);
             fleet.kill(node);
             sleep(Duration::from_millis(20)).await;
@@ -716,7 +734,7 @@
     for member in cold {
         make_cold(&fleet, member).await;
     }
-    // Half of the homes are struck in any case.
+    // One of the two homes is disrupted with every seed.
     let home = homes_of(&fleet, "a")[0];
     let runs: Vec<StatementTimes> = cold
         .iter()
@@ -728,7 +746,7 @@
             12 => Disruption::Replace(home),
             _ => random_disruption(&mut rng),
         };
-        // Callers of a process that is killed end with it.
+        // Clients are started in each round, since those of a killed process end with it.
         disrupt(&mut fleet, disruption).await;
         let writes = Load::start(&fleet, &all_nodes(LARGE_FLEET), 1, true);
         let reads = Load::start(&fleet, &all_nodes(LARGE_FLEET), 1, false);
@@ -742,6 +760,6 @@
             "{member}: {} in a second",
             runs.max_per_second()
         );
-        assert!(runs.count() > 0, "{member}: nothing at all");
+        assert!(runs.count() > 0, "{member}: no statements at all");
     }
 }
--- a/crates/engine/tests/slow_start_shares.rs
+++ b/crates/engine/tests/slow_start_shares.rs
@@ -1,5 +1,5 @@
-//! The arithmetic of cold members' shares: windows, turns, and a model of processes that hear of
-//! the store late, each as greedy as it may be.
+//! Shares of cold members without a fleet: windows, order of admission, and a model of processes
+//! that learn of the store's records late and send as much as they may.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -52,7 +52,7 @@
     let now = |settled| ["a", "b", "c"].map(|node| allotment.share(node, 30, settled));
     assert_eq!(now(false), [5, 5, 0]);
     assert_eq!(now(true), [20, 5, 0]);
-    // A configuration that lowers what is taken holds at once.
+    // A configuration that lowers the limit takes effect at once.
     assert_eq!(allotment.share("a", 15, true), 10);
     assert_eq!(allotment.share("a", 60, true), 20);
 }
@@ -100,30 +100,30 @@
     assert_eq!(gate.admit(soon(), |_| Allowance::Unbounded).await, Ok(None));
 }
 
-/// What the model leaves out of the rules.
+/// Rule that the model leaves out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum InjectedBug {
     None,
-    /// What is added is used at once.
+    /// Increases are used at once.
     NoSettlingTime,
-    /// What is known of the store may be of any age.
+    /// A process's view of the store may be of any age.
     NoAgeLimit,
-    /// A new life uses its share at once.
+    /// A restarted process uses its share at once.
     NoStartupWait,
-    /// A replaced allotment is replaced again at once.
+    /// An allotment may be replaced before it is settled.
     ReplacesUnsettled,
 }
 
 /// One step of a schedule.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// A process hears of the store.
+    /// A process reads the records in the store.
     ReadStore(usize),
-    /// A process starts anew.
+    /// A process restarts.
     Restart(usize),
-    /// All do.
+    /// All processes restart.
     RestartAll,
-    /// Somebody divides the shares anew.
+    /// A process redistributes the shares.
     Redistribute(usize),
 }
 
@@ -149,7 +149,7 @@
     ]
 }
 
-/// Plays a schedule; returns when statements were sent.
+/// Simulates a schedule; returns the times at which statements were sent.
 fn simulate(steps: &[Option<Step>], bug: InjectedBug) -> Vec<Instant> {
     let start = Instant::now();
     let max_record_age = Duration::from_secs(2);
@@ -188,7 +188,7 @@
                 let is_newest = known.map(|(known, _)| known) == newest;
                 let settled = known.is_none_or(|(_, since)| now >= since + settling);
                 if is_newest && (settled || bug == InjectedBug::ReplacesUnsettled) {
-                    // The writer's favourite has all.
+                    // The writer assigns the whole limit to itself.
                     let mut order = names.clone();
                     order.rotate_left(p);
                     let shares: BTreeMap<NodeName, usize> =
@@ -230,15 +230,15 @@
     }
 }
 
-/// A schedule in which the first process divides, and the second does after `pause` ticks; only
-/// the second hears of the store meanwhile, or both do.
+/// A schedule in which the first process redistributes the shares, and the second does so after
+/// `pause` ticks. In between, the second reads the store, and the first too if `both_read`.
 fn two_writers(pause: usize, both_read: bool) -> Vec<Option<Step>> {
     let mut steps = vec![
         Some(Step::Redistribute(0)),
         Some(Step::ReadStore(0)),
         Some(Step::ReadStore(1)),
     ];
-    // Both have lived for a window.
+    // Until both have been running for a window.
     steps.extend((0..60).map(|tick| (tick % 9 == 0).then_some(Step::ReadStore(0))));
     steps.extend((0..pause).map(|tick| match tick % 3 {
         0 => Some(Step::ReadStore(1)),
@@ -251,9 +251,9 @@
 }
 
 #[rstest]
-#[case::what_is_added_is_used_at_once(two_writers(90, true), InjectedBug::NoSettlingTime)]
-#[case::old_knowledge_is_used(two_writers(90, true), InjectedBug::NoAgeLimit)]
-#[case::a_new_life_does_not_wait(
+#[case::increases_are_used_at_once(two_writers(90, true), InjectedBug::NoSettlingTime)]
+#[case::outdated_records_are_used(two_writers(90, true), InjectedBug::NoAgeLimit)]
+#[case::a_restarted_process_does_not_wait(
     {
         let mut steps = two_writers(0, true);
         steps.truncate(60);
@@ -264,11 +264,16 @@
 )]
 #[case::an_allotment_is_replaced_too_soon(
     {
-        // The same process divides twice: what it has got just before counts as settled.
+        // The same process redistributes twice, although the first result is not settled yet.
         let mut steps = two_writers(90, true);
-        let last_division = steps.iter().rposition(|step| matches!(step, Some(Step::Redistribute(_))));
+        let last_division =
+            steps.iter().rposition(|step| matches!(step, Some(Step::Redistribute(_))));
         steps.truncate(last_division.expect("a division") + 1);
-        steps.extend([Some(Step::ReadStore(1)), Some(Step::Redistribute(1)), Some(Step::ReadStore(1))]);
+        steps.extend([
+            Some(Step::ReadStore(1)),
+            Some(Step::Redistribute(1)),
+            Some(Step::ReadStore(1)),
+        ]);
         steps
     },
     InjectedBug::ReplacesUnsettled
--- a/crates/engine/tests/tenants.rs
+++ b/crates/engine/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Who may ask, on whose behalf, and for how long after a credential was removed.
+//! Tenants: authentication, isolation, and the time until a removed credential is refused.
 
 mod support;
 
@@ -21,7 +21,7 @@
 };
 use tokio::time::{Instant, sleep};
 
-/// Processes of a fleet that needs homes.
+/// Size of a fleet that uses homes.
 const LARGE_FLEET: usize = 20;
 /// Time within which a removed credential must be refused.
 const REVOCATION: Duration = Duration::from_secs(5);
@@ -37,7 +37,7 @@
     Credential::from_key(key.as_bytes())
 }
 
-/// A configuration of `version` with tenants and their keys.
+/// Creates a configuration of `version` with `tenants` and their keys.
 fn with_tenants(version: u64, tenants: &[(&str, &[&str])]) -> Configuration {
     let mut configuration = Configuration {
         version,
@@ -63,14 +63,14 @@
 
 const TENANTS: &[(&str, &[&str])] = &[("one", &["key-1"]), ("two", &["key-2", "key-2b"])];
 
-/// A fleet whose configuration has two tenants.
+/// Starts a fleet whose configuration has two tenants.
 async fn start_fleet(nodes: usize) -> Fleet {
     let fleet = Fleet::start_with(&["zone-a", "zone-b"], nodes, policy()).await;
     apply_configuration(&fleet, with_tenants(2, TENANTS)).await;
     fleet
 }
 
-/// Puts a configuration into the store and waits until every process uses it.
+/// Writes a configuration to the store and waits until every process uses it.
 async fn apply_configuration(fleet: &Fleet, next: Configuration) {
     let version = next.version;
     fleet.configuration.send_replace(next);
@@ -91,8 +91,8 @@
     Some(failure.reason.clone())
 }
 
-/// Asks at every process on behalf of both tenants; how many statements a server was told
-/// another tenant for than the one that asked.
+/// Runs statements of both tenants at every process; returns how many of them were sent to a server
+/// with the wrong tenant.
 async fn count_wrong_tenants(fleet: &Fleet) -> usize {
     let mut asked: HashMap<String, &str> = HashMap::new();
     let nodes = fleet.nodes.len();
@@ -120,10 +120,10 @@
     asked.iter().filter(is_wrong).count()
 }
 
-/// A small fleet connects by itself, a large one by way of homes.
+/// Processes of a small fleet connect directly, those of a large one through homes.
 #[rstest]
-#[case::by_itself(3)]
-#[case::by_way_of_homes(LARGE_FLEET)]
+#[case::directly(3)]
+#[case::through_homes(LARGE_FLEET)]
 #[tokio::test(start_paused = true)]
 async fn servers_are_told_the_tenant_of_each_statement(#[case] nodes: usize) {
     let fleet = start_fleet(nodes).await;
@@ -164,7 +164,7 @@
 async fn a_process_that_may_be_behind_refuses_nobody_for_good() {
     let fleet = start_fleet(1).await;
     fleet.records.set_fault(Fault::Refusing);
-    // Longer than changes of the configuration may take.
+    // Longer than the time within which configuration changes must be applied.
     sleep(Duration::from_millis(3_200)).await;
     for (database, key) in [(LEADER_DATABASE, "key-3"), ("nowhere", "key-1")] {
         let engine = Arc::clone(&fleet.nodes[0].engine);
@@ -204,13 +204,13 @@
     assert!(fleet.world.server("a").log.is_empty());
 }
 
-/// Nothing runs with a removed credential that is sent later than the bound, on whichever
-/// process, whatever keeps it from hearing of the removal; and until shortly before, callers
-/// whose credential is good are served.
+/// After the revocation bound, no process runs statements with a removed credential, whatever keeps
+/// it from learning of the removal. Until shortly before, clients with a valid credential are
+/// served.
 #[rstest]
-#[case::turned_away_by_the_store(LARGE_FLEET, false)]
+#[case::refused_by_the_store(LARGE_FLEET, false)]
 #[case::frozen_meanwhile(LARGE_FLEET, true)]
-#[case::a_small_fleet_turned_away(3, false)]
+#[case::a_small_fleet_refused_by_the_store(3, false)]
 #[tokio::test(start_paused = true)]
 async fn a_process_that_hears_of_nothing_fails_closed(#[case] nodes: usize, #[case] frozen: bool) {
     let fleet = start_fleet(nodes).await;
@@ -245,8 +245,9 @@
     tokio::time::sleep_until(at).await;
 }
 
-/// One process hears of the store no more, by any way: it proves nothing, and the others go
-/// on. Those that asked it go elsewhere.
+/// One store reader is killed and the store refuses another, so that neither has new proofs. The
+/// other processes switch to other sources, and the age of their configuration stays well below the
+/// bound.
 #[tokio::test(start_paused = true)]
 async fn proofs_stay_young_while_followers_are_lost() {
     let mut fleet = start_fleet(LARGE_FLEET).await;
@@ -277,7 +278,7 @@
     assert!(worst < REVOCATION.mul_f64(0.6), "{worst:?}");
 }
 
-/// Connections of all tenants together stay within the share of their process.
+/// The connections of all tenants together stay within the limit of the process.
 #[tokio::test(start_paused = true)]
 async fn connections_of_all_tenants_share_one_limit() {
     let tenants: Vec<String> = (0..40).map(|index| format!("tenant-{index}")).collect();
