--- a/crates/engine/tests/evacuation.rs
+++ b/crates/engine/tests/evacuation.rs
@@ -274,26 +274,26 @@
 async fn a_process_that_stood_still_over_the_bound_sends_nothing_there() {
     let fleet = start_fleet(4).await;
     retry_write(&fleet, 0).await;
-    let mut resting = fleet.session(3, OWN_DATABASE);
-    assert!(resting.begin(false).await.outcome.is_ok());
-    assert!(resting.write("x 1").await.outcome.is_ok());
+    let mut idle = fleet.session(3, OWN_DATABASE);
+    assert!(idle.begin(false).await.outcome.is_ok());
+    assert!(idle.write("x 1").await.outcome.is_ok());
     fleet.freeze("node-3", true);
     let acked_at = evacuate(&fleet, &["zone-a"]);
     sleep_until(acked_at + BOUND * 2).await;
     // It resumes and has not learned of the evacuation yet.
     fleet.freeze("node-3", false);
     assert!(!fleet.nodes[3].engine.evacuations().contains("zone-a"));
-    let mut fresh = fleet.session(3, BOUNDED_DATABASE);
+    let mut new_client = fleet.session(3, BOUNDED_DATABASE);
     let outdated = FailureReason::ConfigurationOutdated;
-    assert_eq!(refusal_reason(&fresh.read("x").await), outdated);
+    assert_eq!(refusal_reason(&new_client.read("x").await), outdated);
     assert_eq!(
-        refusal_reason(&resting.commit().await),
+        refusal_reason(&idle.commit().await),
         FailureReason::TransactionLost
     );
     sleep(Duration::from_secs(1)).await;
     let last = last_command_after(&fleet, "a", acked_at).await;
     assert!(last < BOUND, "{last:?}");
-    assert_ne!(seen(&fresh.read("x").await).0, "a");
+    assert_ne!(seen(&new_client.read("x").await).0, "a");
     retry_write(&fleet, 3).await;
 }
 
@@ -413,7 +413,7 @@
     evacuate(&fleet, &["zone-a", "zone-b", "zone-c"]);
     sleep(BOUND).await;
     assert!(fleet.world.promotions().is_empty());
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     for statement in [read("x"), write("x 1")] {
         for database in [LEADER_DATABASE, BOUNDED_DATABASE, OWN_DATABASE] {
             let reply = fleet.session(0, database).ask(statement.clone()).await;
@@ -425,9 +425,9 @@
         }
     }
     assert!(
-        asked.elapsed() < Duration::from_millis(20),
+        requested_at.elapsed() < Duration::from_millis(20),
         "{:?}",
-        asked.elapsed()
+        requested_at.elapsed()
     );
     // Statements wait for a member elsewhere that can't lead yet.
     evacuate(&fleet, &["zone-a", "zone-b"]);
@@ -496,16 +496,16 @@
         .filter(|index| !is_cut(*index))
         .map(|index| fleet.session(index, BOUNDED_DATABASE))
         .collect();
-    let (mut asked, mut refused) = (0, 0);
+    let (mut requests, mut refused) = (0, 0);
     while acked_at.elapsed() < BOUND * 2 {
         for client in &mut clients {
-            asked += 1;
+            requests += 1;
             refused += usize::from(client.read("x").await.outcome.is_err());
         }
         sleep(Duration::from_millis(50)).await;
     }
     let last = last_command_after(&fleet, "a", acked_at).await;
-    println!("last command {last:?} after the acknowledgement; refused {refused} of {asked}");
+    println!("last command {last:?} after the acknowledgement; refused {refused} of {requests}");
     assert!(last < BOUND, "{last:?}");
-    assert!(refused * 100 <= asked, "{refused} of {asked}");
+    assert!(refused * 100 <= requests, "{refused} of {requests}");
 }
--- a/crates/engine/tests/evacuation_regions.rs
+++ b/crates/engine/tests/evacuation_regions.rs
@@ -54,7 +54,7 @@
         evacuations.zones = ["zone-a", "zone-b"].map(Arc::from).into();
     });
     sleep(BOUND).await;
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let failure = client
         .read("x")
         .await
@@ -63,8 +63,8 @@
     assert_eq!(failure.verdict, Verdict::NotRun);
     assert_eq!(failure.reason, FailureReason::ZoneEvacuated);
     assert!(
-        asked.elapsed() < Duration::from_millis(20),
+        requested_at.elapsed() < Duration::from_millis(20),
         "{:?}",
-        asked.elapsed()
+        requested_at.elapsed()
     );
 }
--- a/crates/engine/tests/homes.rs
+++ b/crates/engine/tests/homes.rs
@@ -92,8 +92,8 @@
     let member = member(fleet, name);
     let candidates = fleet.nodes[0].engine.homes().candidates(&member);
     let homes = candidates.iter().take(HOMES_PER_MEMBER);
-    let place = |peer: &Peer| fleet.nodes.iter().position(|node| *node.name == *peer.node);
-    homes.map(|peer| place(peer).expect("a process")).collect()
+    let index = |peer: &Peer| fleet.nodes.iter().position(|node| *node.name == *peer.node);
+    homes.map(|peer| index(peer).expect("a process")).collect()
 }
 
 /// Returns a process that is not a home of any member.
@@ -324,8 +324,8 @@
         for (client, value) in [(&mut first, "one"), (&mut second, "two")] {
             let reply = client.execute("s", "x").await;
             assert_eq!(seen(&reply).0, "a");
-            let told = format!(" colour={value}");
-            assert_eq!(reply.rows[1..], [support::bytes(&told)]);
+            let expected = format!(" colour={value}");
+            assert_eq!(reply.rows[1..], [support::bytes(&expected)]);
         }
     }
     // Writes of a transaction are not visible before its commit.
--- a/crates/engine/tests/rate.rs
+++ b/crates/engine/tests/rate.rs
@@ -133,10 +133,10 @@
 }
 
 async fn request_continuously(engine: Arc<Engine>, pause: Duration) {
-    let mut asking = JoinSet::new();
+    let mut requests = JoinSet::new();
     loop {
         let engine = Arc::clone(&engine);
-        asking.spawn(async move {
+        requests.spawn(async move {
             let credential = Some(Credential::from_key(KEY));
             let database = LEADER_DATABASE.into();
             let opened = stilequay_engine::session::Session::open(engine, database, credential);
@@ -144,7 +144,7 @@
             let mut client = Client { session, next: 0 };
             client.read("x").await;
         });
-        while asking.try_join_next().is_some() {}
+        while requests.try_join_next().is_some() {}
         sleep(pause).await;
     }
 }
@@ -254,13 +254,13 @@
     };
     let mut fleet = start_fleet(LARGE_FLEET, limit).await;
     let lost = counter_nodes(&fleet)[0];
-    let asking: Vec<usize> = (0..LARGE_FLEET).filter(|node| *node != lost).collect();
+    let remaining: Vec<usize> = (0..LARGE_FLEET).filter(|node| *node != lost).collect();
     let mut refused = Vec::new();
     for round in 0..200 {
         if round == 40 && one_is_lost {
             fleet.kill(lost);
         }
-        let node = asking[round % asking.len()];
+        let node = remaining[round % remaining.len()];
         let engine = &fleet.nodes[node].engine;
         let credential = Some(Credential::from_key(KEY));
         let mut client = Client::open_with(engine, LEADER_DATABASE, credential);
@@ -385,9 +385,9 @@
     let mut runs = Vec::new();
     for count in 0..3_200_u64 {
         let now = began + step * u32::try_from(count).expect("small");
-        if let Some(place) = takeovers.iter().position(|at| *at == count) {
+        if let Some(position) = takeovers.iter().position(|at| *at == count) {
             // Of several takeovers in quick succession, only the first has initial tokens.
-            let new_share = match place == 0 || always_initial {
+            let new_share = match position == 0 || always_initial {
                 true => shares,
                 false => without_initial,
             };
@@ -469,13 +469,13 @@
             false => fleet.records.refuse_node(name, true),
         }
     }
-    let asking: Vec<usize> = (0..LARGE_FLEET)
+    let remaining: Vec<usize> = (0..LARGE_FLEET)
         .filter(|node| !lost.contains(node))
         .collect();
     let mut unserved = Duration::ZERO;
     let mut last = Instant::now();
     for round in 0..300 {
-        let engine = &fleet.nodes[asking[round % asking.len()]].engine;
+        let engine = &fleet.nodes[remaining[round % remaining.len()]].engine;
         let credential = Some(Credential::from_key(KEY));
         let mut client = Client::open_with(engine, LEADER_DATABASE, credential);
         let began = Instant::now();
--- a/crates/engine/tests/rate_partial.rs
+++ b/crates/engine/tests/rate_partial.rs
@@ -132,7 +132,7 @@
 async fn run_normal_load(fleet: &Fleet, nodes: &[usize], time: Duration) -> Vec<PermitOutcome> {
     let pause = Duration::from_secs(1).div_f64(LIMIT.per_second * 0.625);
     let began = Instant::now();
-    let mut asking = JoinSet::new();
+    let mut requests = JoinSet::new();
     for round in 0.. {
         let at = pause * round;
         if at >= time {
@@ -140,18 +140,18 @@
         }
         sleep_until(began + at).await;
         let engine = Arc::clone(&fleet.nodes[nodes[round as usize % nodes.len()]].engine);
-        asking.spawn(async move {
-            let asked = Instant::now();
-            let deadline = asked + Duration::from_secs(1);
+        requests.spawn(async move {
+            let requested_at = Instant::now();
+            let deadline = requested_at + Duration::from_secs(1);
             let outcomes = permit::acquire(&engine, &tenant(), deadline).await;
             PermitOutcome {
                 at,
-                took: asked.elapsed(),
+                took: requested_at.elapsed(),
                 refusal: outcomes.err().map(|failure| failure.reason),
             }
         });
     }
-    asking.join_all().await
+    requests.join_all().await
 }
 
 fn count(outcomes: &[PermitOutcome], reason: FailureReason) -> usize {
@@ -305,17 +305,17 @@
 #[tokio::test(start_paused = true)]
 async fn the_retry_time_is_at_least_a_millisecond() {
     let fleet = start_fleet().await;
-    let mut told = Vec::new();
+    let mut retry_times = Vec::new();
     for round in 0..2_000 {
         let engine = &fleet.nodes[round % LARGE_FLEET].engine;
         let deadline = Instant::now() + Duration::from_secs(1);
         if let Err(failure) = permit::acquire(engine, &tenant(), deadline).await {
-            told.push(failure.retry_after.expect("a time to come back"));
+            retry_times.push(failure.retry_after.expect("a retry time"));
         }
         sleep(Duration::from_millis(1)).await;
     }
-    assert!(!told.is_empty());
-    let shortest = told.iter().min().expect("some");
+    assert!(!retry_times.is_empty());
+    let shortest = retry_times.iter().min().expect("some");
     assert!(*shortest >= Duration::from_millis(1), "{shortest:?}");
 }
 
@@ -359,9 +359,9 @@
 async fn both_sides_together_keep_to_the_bound(#[case] loss: Loss, #[case] times: usize) {
     let mut fleet = start_fleet().await;
     let granted = Arc::new(Mutex::new(Vec::new()));
-    let mut asking = JoinSet::new();
+    let mut requests = JoinSet::new();
     for node in &fleet.nodes {
-        asking.spawn(request_continuously(
+        requests.spawn(request_continuously(
             Arc::clone(&node.engine),
             Arc::clone(&granted),
         ));
--- a/crates/engine/tests/residency.rs
+++ b/crates/engine/tests/residency.rs
@@ -148,15 +148,15 @@
 /// The index of the process to which the client was connected, and the ID of the statement.
 type SentStatement = (usize, String);
 
-/// Returns all servers and processes outside the north that received a statement of `asked`, except
-/// the process to which its client was connected.
-fn residency_violations(fleet: &Fleet, asked: &[SentStatement]) -> Vec<String> {
+/// Returns all servers and processes outside the north that received one of `statements`, except the
+/// processes to which their clients were connected.
+fn residency_violations(fleet: &Fleet, statements: &[SentStatement]) -> Vec<String> {
     let zone_of = |name: &str| {
         let node = fleet.nodes.iter().find(|node| node.name == name);
         node.expect("a process").engine.settings().zone.clone()
     };
     let mut found = Vec::new();
-    for (node, id) in asked {
+    for (node, id) in statements {
         let servers = fleet.world.servers_reached(id).into_iter();
         found.extend(servers.filter(|server| !NORTHERN.contains(&server.as_str())));
         let processes = fleet.peers.processes_passed(id).into_iter();
@@ -171,7 +171,7 @@
     let is_southern = |node: &Node| !is_northern(&node.engine.settings().zone);
     let nodes = fleet.nodes.iter().enumerate();
     let southern = nodes.filter(|(_, node)| is_southern(node));
-    southern.map(|(place, _)| place).collect()
+    southern.map(|(index, _)| index).collect()
 }
 
 /// Returns the indices of the candidates for the server `name`.
@@ -179,9 +179,9 @@
     let directory = fleet.nodes[0].engine.directory();
     let member = directory.member(name).expect("a member");
     let candidates = fleet.nodes[0].engine.homes().candidates(member);
-    let place = |peer: &Peer| fleet.nodes.iter().position(|node| *node.name == *peer.node);
-    let places = candidates.iter().map(place);
-    places.map(|place| place.expect("a process")).collect()
+    let index = |peer: &Peer| fleet.nodes.iter().position(|node| *node.name == *peer.node);
+    let indices = candidates.iter().map(index);
+    indices.map(|index| index.expect("a process")).collect()
 }
 
 /// Returns a southern process that is not a candidate for any server.
@@ -240,10 +240,10 @@
 ) {
     let fleet = start_fleet(4, restrict_all_to(2, SOUTH)).await;
     let mut client = fleet.session(0, database);
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let (id, reply) = client.ask_as(statement.clone()).await;
     assert_eq!(reason(&reply), Some(FailureReason::OutsideHomeRegions));
-    assert!(asked.elapsed() < Duration::from_millis(1));
+    assert!(requested_at.elapsed() < Duration::from_millis(1));
     client.begin(false).await;
     let (in_transaction, reply) = client.ask_as(statement).await;
     assert_eq!(reason(&reply), Some(FailureReason::OutsideHomeRegions));
@@ -257,10 +257,10 @@
 async fn an_unknown_region_affects_only_its_own_database() {
     let homes: &[(&str, &[&str])] = &[(BOUNDED_DATABASE, &["nowhere"])];
     let fleet = start_fleet(4, with_home_regions(2, homes)).await;
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let reply = fleet.session(0, BOUNDED_DATABASE).read("x").await;
     assert_eq!(reason(&reply), Some(FailureReason::OutsideHomeRegions));
-    assert!(asked.elapsed() < Duration::from_millis(1));
+    assert!(requested_at.elapsed() < Duration::from_millis(1));
     let reply = fleet.session(0, LEADER_DATABASE).read("x").await;
     assert!(reply.outcome.is_ok());
 }
@@ -344,7 +344,7 @@
     let candidates = candidates_of(&fleet, "a");
     let (elsewhere, northern): (Vec<usize>, Vec<usize>) = candidates
         .iter()
-        .partition(|place| southern.contains(place));
+        .partition(|index| southern.contains(index));
     assert_eq!(
         (northern.len(), elsewhere.len()),
         (CANDIDATES_PER_MEMBER - 1, 1)
@@ -357,9 +357,9 @@
     let mut client = fleet.session(node, LEADER_DATABASE);
     let (id, reply) = client.ask_as(read("x")).await;
     assert!(reply.outcome.is_ok() || reason(&reply).is_some());
-    let asked = fleet.peers.processes_passed(&id);
+    let forwarded_to = fleet.peers.processes_passed(&id);
     // One may be skipped, since it already failed for a request of the process itself.
-    assert!(asked.len() > 1, "{asked:?}");
+    assert!(forwarded_to.len() > 1, "{forwarded_to:?}");
     assert_eq!(
         residency_violations(&fleet, &[(node, id)]),
         Vec::<String>::new()
--- a/crates/engine/tests/slow_start.rs
+++ b/crates/engine/tests/slow_start.rs
@@ -112,9 +112,9 @@
     let member = directory.member(member).expect("a member");
     let candidates = fleet.nodes[0].engine.homes().candidates(member);
     let homes = candidates.iter().take(HOMES_PER_MEMBER);
-    let place = |name: &NodeName| fleet.nodes.iter().position(|node| *node.name == **name);
+    let index = |name: &NodeName| fleet.nodes.iter().position(|node| *node.name == **name);
     homes
-        .map(|peer| place(&peer.node).expect("a process"))
+        .map(|peer| index(&peer.node).expect("a process"))
         .collect()
 }
 
@@ -267,10 +267,10 @@
     assert!(!failures.is_empty(), "the load does not exceed the limit");
     for failure in failures {
         assert_eq!(failure.verdict, Verdict::NotRun, "{failure:?}");
-        let told = failure
+        let has_retry_time = failure
             .retry_after
             .is_some_and(|wait| wait > Duration::ZERO);
-        assert!(told, "{failure:?}");
+        assert!(has_retry_time, "{failure:?}");
     }
 }
 
@@ -288,23 +288,23 @@
     let mut client = fleet.session(0, LEADER_DATABASE);
     assert!(client.write("x").await.outcome.is_ok());
     // The next statement is allowed one window later, but a statement may wait for only 336 ms.
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let refused = client
         .write("x")
         .await
         .outcome
         .expect_err("no place in time");
     assert!(
-        asked.elapsed() < Duration::from_millis(100),
+        requested_at.elapsed() < Duration::from_millis(100),
         "refused at once"
     );
     assert_eq!(refused.verdict, Verdict::NotRun);
-    let wait = refused.retry_after.expect("a time to come back");
+    let wait = refused.retry_after.expect("a retry time");
     sleep(wait.saturating_sub(Duration::from_millis(200))).await;
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     assert!(client.write("x").await.outcome.is_ok());
     assert!(
-        asked.elapsed() > Duration::from_millis(100),
+        requested_at.elapsed() > Duration::from_millis(100),
         "the write did not wait"
     );
 }
@@ -619,11 +619,11 @@
     // The remaining time is sent by another process, over a link with latency.
     let fleet = start_fleet(LARGE_FLEET).await;
     make_cold(&fleet, "b").await;
-    let told = fleet.world.server("b").cold_until.expect("cold");
+    let expected = fleet.world.server("b").cold_until.expect("cold");
     for node in &fleet.nodes {
         let directory = node.engine.directory();
         let known = directory.member("b").expect("a member").cold_until;
-        let early = told.saturating_duration_since(known.expect("cold"));
+        let early = expected.saturating_duration_since(known.expect("cold"));
         assert!(
             early <= Duration::from_millis(1),
             "{}: {early:?}",
--- a/crates/engine/tests/slow_start_shares.rs
+++ b/crates/engine/tests/slow_start_shares.rs
@@ -84,20 +84,23 @@
 async fn a_statement_that_would_wait_too_long_is_refused_at_once() {
     let gate = StatementGate::default();
     let share = |_| Allowance::Share(1);
-    let soon = || SendPriority::InOrder(Instant::now() + Duration::from_millis(300));
-    gate.admit(soon(), share).await.expect("a place");
-    let asked = Instant::now();
+    let in_order = || SendPriority::InOrder(Instant::now() + Duration::from_millis(300));
+    gate.admit(in_order(), share).await.expect("a place");
+    let requested_at = Instant::now();
     let wait = gate
-        .admit(soon(), share)
+        .admit(in_order(), share)
         .await
         .expect_err("no place in time");
-    assert_eq!(asked.elapsed(), Duration::ZERO);
+    assert_eq!(requested_at.elapsed(), Duration::ZERO);
     assert_eq!(wait, WINDOW);
     sleep(Duration::from_millis(900)).await;
-    gate.admit(soon(), share).await.expect("in time");
-    let none = gate.admit(soon(), |_| Allowance::Share(0)).await;
+    gate.admit(in_order(), share).await.expect("in time");
+    let none = gate.admit(in_order(), |_| Allowance::Share(0)).await;
     assert!(none.is_err());
-    assert_eq!(gate.admit(soon(), |_| Allowance::Unbounded).await, Ok(None));
+    assert_eq!(
+        gate.admit(in_order(), |_| Allowance::Unbounded).await,
+        Ok(None)
+    );
 }
 
 /// Rule that the model leaves out.
--- a/crates/engine/tests/tenants.rs
+++ b/crates/engine/tests/tenants.rs
@@ -94,7 +94,7 @@
 /// Runs statements of both tenants at every process; returns how many of them were sent to a server
 /// with the wrong tenant.
 async fn count_wrong_tenants(fleet: &Fleet) -> usize {
-    let mut asked: HashMap<String, &str> = HashMap::new();
+    let mut statements: HashMap<String, &str> = HashMap::new();
     let nodes = fleet.nodes.len();
     for round in 0..4 {
         for node in 0..nodes {
@@ -104,20 +104,20 @@
                 let mut client = client(fleet, node, database, key);
                 let (id, reply) = client.ask_as(read("x")).await;
                 assert!(reply.outcome.is_ok(), "{reply:?}");
-                asked.insert(id, tenant);
+                statements.insert(id, tenant);
                 client.begin(false).await;
                 let (id, reply) = client.ask_as(write("x 1")).await;
                 assert!(reply.outcome.is_ok(), "{reply:?}");
-                asked.insert(id, tenant);
+                statements.insert(id, tenant);
                 assert!(client.commit().await.outcome.is_ok());
             }
         }
     }
     let is_wrong = |(id, tenant): &(&String, &&str)| {
-        let told = fleet.world.tenant_told(id).expect("it has run");
-        told.as_deref() != Some(**tenant)
+        let received = fleet.world.tenant_told(id).expect("it has run");
+        received.as_deref() != Some(**tenant)
     };
-    asked.iter().filter(is_wrong).count()
+    statements.iter().filter(is_wrong).count()
 }
 
 /// Processes of a small fleet connect directly, those of a large one through homes.
@@ -294,8 +294,8 @@
         let mut client = client(&fleet, 0, LEADER_DATABASE, name);
         let (id, reply) = client.ask_as(read("x")).await;
         assert!(reply.outcome.is_ok(), "{reply:?}");
-        let told = fleet.world.tenant_told(&id).expect("it has run");
-        assert_eq!(told.as_deref(), Some(name.as_str()));
+        let received = fleet.world.tenant_told(&id).expect("it has run");
+        assert_eq!(received.as_deref(), Some(name.as_str()));
         assert!(fleet.world.open_connections("a") <= 34);
     }
 }
