--- a/crates/engine/tests/evacuation_schedule.rs
+++ b/crates/engine/tests/evacuation_schedule.rs
@@ -1,5 +1,5 @@
-//! When nothing more is sent to evacuated zones, how many leaders move at a time, and what is
-//! told of it: decisions without a fleet.
+//! Evacuation without a fleet: deadlines of the schedule, number of concurrent leader changes, and
+//! fields of the events.
 
 use rstest::rstest;
 use serde_json::json;
@@ -18,7 +18,7 @@
     names.iter().map(|name| Arc::from(*name)).collect()
 }
 
-/// A schedule whose proof is told by hand.
+/// Creates a schedule, and the sender that sets the time of its last proof.
 fn schedule() -> (Schedule, watch::Sender<Option<Instant>>) {
     let proof = watch::Sender::new(None);
     (Schedule::new(Some(BOUND), proof.subscribe()), proof)
@@ -28,7 +28,7 @@
 #[case::learned_at_once(0, 2_990, 3_010)]
 #[case::learned_late(1_500, 1_490, 1_510)]
 #[tokio::test(start_paused = true)]
-async fn the_bound_counts_from_the_last_proof_without_the_request(
+async fn the_deadline_is_computed_from_the_last_proof(
     #[case] unproven_ms: u64,
     #[case] open_ms: u64,
     #[case] closed_ms: u64,
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_a_proof_nothing_is_sent_and_no_time_is_given() {
+async fn nothing_is_sent_without_a_recent_proof() {
     let (schedule, proof) = schedule();
     let now = Instant::now();
     let check = |zone, at| schedule.check(zone, Sender::Home, at);
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_zone_that_is_back_is_told_since_when() {
+async fn restored_zones_report_the_time_of_their_return() {
     let (schedule, proof) = schedule();
     proof.send_replace(Some(Instant::now()));
     schedule.set_evacuated(&zones(&["zone-a", "zone-b"]), Instant::now());
@@ -84,7 +84,7 @@
     assert_eq!(schedule.restored_at("zone-a"), None);
 }
 
-/// As many leaders move side by side as have to, so that the last change begins in time.
+/// Leaders are moved only as concurrently as needed for the last change to start in time.
 #[rstest]
 #[case::none(0, 3_000, 0)]
 #[case::one(1, 3_000, 1)]
@@ -93,7 +93,7 @@
 #[case::time_for_three_rounds(8, 2_700, 3)]
 #[case::time_for_many(9, 16_000, 1)]
 #[case::too_late(3, 0, 3)]
-fn leaders_move_a_few_at_a_time(
+fn concurrent_leader_changes_depend_on_the_time_left(
     #[case] changes: usize,
     #[case] left_ms: u64,
     #[case] expected: usize,
@@ -104,9 +104,9 @@
     );
 }
 
-/// Whoever reads logs relies on the fields.
+/// Readers of logs rely on these fields.
 #[test]
-fn events_of_evacuations_have_their_fields() {
+fn evacuation_events_have_their_fields() {
     let taken = Event::EvacuationsTaken {
         version: 7,
         zones: zones(&["zone-a", "zone-b"]),
--- a/crates/engine/tests/homes.rs
+++ b/crates/engine/tests/homes.rs
@@ -1,5 +1,5 @@
-//! Fleets of more processes than a member accepts connections from: homes, and following
-//! the store by way of other processes.
+//! Fleets with more processes than can connect to a member directly: homes, and following the
+//! store through other processes.
 
 mod support;
 
@@ -26,18 +26,18 @@
 };
 use tokio::time::{Instant, sleep, timeout};
 
-/// Processes of a fleet for which 34 connections of a member do not suffice.
-const LARGE: usize = 20;
+/// Fleet size at which the 34 connections that a member accepts are too few for direct connections.
+const LARGE_FLEET: usize = 20;
 
-async fn large_fleet() -> Fleet {
-    large_fleet_in(&["zone-a"]).await
+async fn start_large_fleet() -> Fleet {
+    start_large_fleet_in(&["zone-a"]).await
 }
 
-/// The processes that follow the store, once these are the first two of all and whoever holds the
-/// lease for promotions, and no others.
-async fn until_few_follow(fleet: &Fleet) -> Vec<usize> {
+/// Waits until only the two processes assigned to read the store, and the holder of the promotion
+/// lease, read it directly; returns the processes that do.
+async fn wait_for_store_readers(fleet: &Fleet) -> Vec<usize> {
     let is_direct = |node: &Node| node.engine.following().is_direct();
-    let is_to = |node: &Node| {
+    let role_of = |node: &Node| {
         let zone = &node.engine.settings().zone;
         let holds = fleet.lease().holder.as_str() == node.name;
         (
@@ -46,38 +46,38 @@
         )
     };
     until(|| {
-        fleet.nodes.iter().all(|node| match is_to(node) {
+        fleet.nodes.iter().all(|node| match role_of(node) {
             (true, _) => is_direct(node),
             (false, true) => true,
             (false, false) => !is_direct(node),
         })
     })
     .await;
-    let roots = fleet.nodes.iter().filter(|node| is_to(node).0);
-    assert_eq!(roots.count(), 2);
+    let store_readers = fleet.nodes.iter().filter(|node| role_of(node).0);
+    assert_eq!(store_readers.count(), 2);
     let nodes = fleet.nodes.iter().enumerate();
     let direct = nodes.filter(|(_, node)| is_direct(node));
     direct.map(|(index, _)| index).collect()
 }
 
-/// A large fleet whose processes stand in `zones` in turn.
-async fn large_fleet_in(zones: &'static [&'static str]) -> Fleet {
-    let fleet = Fleet::start_in(zones, LARGE).await;
+/// Starts a large fleet whose processes are assigned to `zones` round-robin.
+async fn start_large_fleet_in(zones: &'static [&'static str]) -> Fleet {
+    let fleet = Fleet::start_in(zones, LARGE_FLEET).await;
     until(|| {
         fleet
             .nodes
             .iter()
-            .all(|node| node.engine.processes() == LARGE)
+            .all(|node| node.engine.processes() == LARGE_FLEET)
     })
     .await;
     until(|| {
         fleet
             .nodes
             .iter()
-            .all(|node| node.engine.homes().fleet().len() == LARGE)
+            .all(|node| node.engine.homes().fleet().len() == LARGE_FLEET)
     })
     .await;
-    // Connections that were opened before the fleet was known have ended.
+    // Until direct connections opened before the fleet was known are closed.
     sleep(Duration::from_secs(3)).await;
     fleet
 }
@@ -87,25 +87,27 @@
     Arc::clone(directory.member(name).expect("a member"))
 }
 
-/// The processes that hold the connections to `name`, by their place in the fleet.
+/// Returns the indices of the homes of the member `name`.
 fn homes_of(fleet: &Fleet, name: &str) -> Vec<usize> {
     let member = member(fleet, name);
     let candidates = fleet.nodes[0].engine.homes().candidates(&member);
     let homes = candidates.iter().take(HOMES_PER_MEMBER);
-    let place = |peer: &Peer| fleet.nodes.iter().position(|node| *node.name == *peer.node);
-    homes.map(|peer| place(peer).expect("a process")).collect()
+    let index = |peer: &Peer| fleet.nodes.iter().position(|node| *node.name == *peer.node);
+    homes.map(|peer| index(peer).expect("a process")).collect()
 }
 
-/// A process that holds no connection to any member.
-fn bystander(fleet: &Fleet) -> usize {
+/// Returns a process that is not a home of any member.
+fn uninvolved_node(fleet: &Fleet) -> usize {
     let taken: HashSet<usize> = ["a", "b", "c"]
         .iter()
         .flat_map(|name| homes_of(fleet, name))
         .collect();
-    (0..LARGE).find(|node| !taken.contains(node)).expect("one")
+    (0..LARGE_FLEET)
+        .find(|node| !taken.contains(node))
+        .expect("one")
 }
 
-/// What sessions whose statements may run anywhere reach `member` with.
+/// Returns the pool through which sessions without home regions reach `member`.
 fn session_pool(engine: &Engine, member: &Arc<Member>) -> Arc<MemberPool> {
     let topology = &engine.settings().topology;
     let anywhere = Residency::ANYWHERE.admit(topology, Arc::clone(member));
@@ -123,9 +125,9 @@
 #[case::nine_with_few_connections(16, Some(2), 9, false)]
 #[case::ninety(63, Some(3), 90, false)]
 #[case::many_connections_and_few_slots(225, Some(3), 68, false)]
-#[case::slots_that_are_not_told(225, None, 68, true)]
+#[case::unknown_slots(225, None, 68, true)]
 #[case::the_target(100, Some(8), 6_100, false)]
-fn connections_suffice_by_arithmetic(
+fn direct_connections_depend_on_the_capacity(
     #[case] connections: usize,
     #[case] slots: Option<usize>,
     #[case] processes: usize,
@@ -139,7 +141,7 @@
 #[case::a_share_of_few(63, Some(3), 28)]
 #[case::no_more_than_the_slots_need(225, Some(3), 30)]
 #[case::never_less_than_two(7, Some(3), 2)]
-fn a_home_has_its_share(
+fn connections_per_home_are_limited(
     #[case] connections: usize,
     #[case] slots: Option<usize>,
     #[case] share: usize,
@@ -167,11 +169,11 @@
     let all = peers(90);
     let ranked = rank(&all, &member);
     assert_eq!(ranked.len(), CANDIDATES_PER_MEMBER);
-    // The last one is elsewhere: it watches the member when the whole zone is cut off.
+    // The last candidate is in another zone and replaces the homes if the member's zone is cut off.
     let (outside, inside) = ranked.split_last().expect("candidates");
     assert!(inside.iter().all(|peer| peer.zone == member.zone));
     assert_ne!(outside.zone, member.zone);
-    // Who is not among the candidates may leave unnoticed.
+    // The loss of a process that is not a candidate changes nothing.
     let others: Vec<Peer> = all
         .iter()
         .filter(|p| !ranked.contains(p))
@@ -181,7 +183,7 @@
         let left: Vec<Peer> = all.iter().filter(|p| *p != gone).cloned().collect();
         assert_eq!(rank(&left, &member), ranked);
     }
-    // Where the first is gone the second follows.
+    // Without the first candidate, the others move up by one.
     let left: Vec<Peer> = all.iter().filter(|p| **p != ranked[0]).cloned().collect();
     let after = rank(&left, &member);
     assert_eq!(
@@ -189,7 +191,7 @@
         ranked[1..CANDIDATES_PER_MEMBER - 1]
     );
     assert_eq!(after[CANDIDATES_PER_MEMBER - 1], *outside);
-    // A zone that has too few is helped out by others, and the other way round.
+    // Missing candidates are taken from other zones, or from the member's zone.
     let of_zone = |zone: &str, count| {
         let peers = all.iter().filter(|peer| &*peer.zone == zone);
         peers.take(count).cloned().collect::<Vec<Peer>>()
@@ -208,10 +210,10 @@
     assert!(rank(&[], &member).is_empty());
 }
 
-/// The groups of one block stand beside one another, so that the store tells of all of them
-/// in one call; each group is in one block.
+/// Each group is in exactly one block. The groups of a block are adjacent in sorted order, so that
+/// one store call returns all of them.
 #[test]
-fn groups_are_kept_in_blocks() {
+fn each_group_is_in_one_block() {
     let mut names: Vec<GroupName> = (0..9_500)
         .map(|n| Arc::from(format!("group-{n}")))
         .collect();
@@ -227,8 +229,7 @@
     assert_eq!(block_of(&[], "unknown"), None);
 }
 
-/// Evidence of all groups of a block comes with one call of the store, however many groups
-/// there are.
+/// One store call refreshes the evidence of all groups of a block.
 #[tokio::test(start_paused = true)]
 async fn evidence_of_a_block_comes_with_one_call() {
     let fleet = Fleet::start(1).await;
@@ -255,9 +256,9 @@
     assert_eq!(fleet.records.calls() - calls, 3);
 }
 
-/// A process with four times the processor does four times the work for others.
+/// A process with four times the cores is assigned four times as many tasks.
 #[tokio::test(start_paused = true)]
-async fn work_for_others_goes_by_what_a_process_can_bear() {
+async fn tasks_are_assigned_in_proportion_to_weight() {
     let fleet = Fleet::start(1).await;
     let member = member(&fleet, "a");
     let weighted = peers(90).into_iter().enumerate().map(|(index, peer)| Peer {
@@ -265,7 +266,7 @@
         ..peer
     });
     let weighted: Vec<Peer> = weighted.collect();
-    let heavy = |peer: &Peer| peer.weight > 0.3;
+    let is_strong = |peer: &Peer| peer.weight > 0.3;
     let first = (0..4_000).map(|index| {
         let member = Member {
             id: Arc::from(format!("member-{index}")),
@@ -273,19 +274,19 @@
         };
         rank(&weighted, &member)[0].clone()
     });
-    let share = first.filter(heavy).count() as f64 / 4_000.0;
-    // 5 of 30 in the zone, of four times the weight: 20 of 45.
+    let share = first.filter(is_strong).count() as f64 / 4_000.0;
+    // Of the zone's 30 processes, 5 have four times the weight of the others: 20 of 45.
     assert!((share - 20.0 / 45.0).abs() < 0.03, "{share}");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_large_fleet_is_served_through_a_few_connections() {
-    let fleet = large_fleet().await;
+    let fleet = start_large_fleet().await;
     let homes: HashSet<usize> = ["a", "b", "c"]
         .iter()
         .flat_map(|name| homes_of(&fleet, name))
         .collect();
-    for node in 0..LARGE {
+    for node in 0..LARGE_FLEET {
         let mut own = fleet.session(node, OWN_DATABASE);
         assert!(own.write("x 1").await.outcome.is_ok());
         assert!(own.read("x").await.outcome.is_ok());
@@ -307,9 +308,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn sessions_keep_their_values_statements_and_transactions_at_a_home() {
-    let fleet = large_fleet().await;
-    let node = bystander(&fleet);
+async fn session_state_and_transactions_work_through_a_home() {
+    let fleet = start_large_fleet().await;
+    let node = uninvolved_node(&fleet);
     let mut first = fleet.session(node, LEADER_DATABASE);
     let mut second = fleet.session(node, LEADER_DATABASE);
     for (client, value) in [(&mut first, "one"), (&mut second, "two")] {
@@ -323,11 +324,11 @@
         for (client, value) in [(&mut first, "one"), (&mut second, "two")] {
             let reply = client.execute("s", "x").await;
             assert_eq!(seen(&reply).0, "a");
-            let told = format!(" colour={value}");
-            assert_eq!(reply.rows[1..], [support::bytes(&told)]);
+            let expected = format!(" colour={value}");
+            assert_eq!(reply.rows[1..], [support::bytes(&expected)]);
         }
     }
-    // What is written in a transaction is seen by nobody before its commit.
+    // Writes of a transaction are not visible before its commit.
     let before = fleet.world.server("a").log.len();
     assert!(first.begin(false).await.outcome.is_ok());
     assert!(first.write("x 1").await.outcome.is_ok());
@@ -338,7 +339,7 @@
     assert!(first.commit().await.outcome.is_ok());
     let after = fleet.world.server("a").log.len();
     assert!(after > before + 1);
-    // One that is rolled back, and one whose caller goes, leave nothing behind.
+    // A transaction that is rolled back, or whose client disconnects, has no effect.
     assert!(first.begin(false).await.outcome.is_ok());
     assert!(first.write("x 4").await.outcome.is_ok());
     assert!(first.rollback().await.outcome.is_ok());
@@ -350,7 +351,7 @@
     assert!(first.write("x 6").await.outcome.is_ok());
 }
 
-/// What becomes of a home while it runs a write.
+/// How a home fails while it runs a write.
 #[derive(Debug, Clone, Copy)]
 enum Loss {
     Killed,
@@ -358,15 +359,15 @@
     Cut,
 }
 
-/// A write that was forwarded to a home that is lost gets no promise, and is not repeated.
+/// A write forwarded to a home that fails is reported as `MayHaveRun` and is not retried.
 #[rstest]
 #[case::killed(Loss::Killed)]
 #[case::frozen(Loss::Frozen)]
 #[case::cut_off(Loss::Cut)]
 #[tokio::test(start_paused = true)]
 async fn a_write_at_a_home_that_is_lost_may_have_run(#[case] loss: Loss) {
-    let mut fleet = large_fleet().await;
-    let node = bystander(&fleet);
+    let mut fleet = start_large_fleet().await;
+    let node = uninvolved_node(&fleet);
     let homes = homes_of(&fleet, "a");
     let name = fleet.nodes[node].name.clone();
     let mut client = fleet.session(node, OWN_DATABASE);
@@ -389,7 +390,7 @@
     let (mut client, reply) = writing.await.expect("the write ends");
     assert_eq!(verdict(&reply), Some(Verdict::MayHaveRun), "{reply:?}");
     fleet.world.change("a", |server| server.slowness = 1);
-    // Others hold the connections now.
+    // Other processes are the homes now.
     let served = async {
         while client.write("x 2").await.outcome.is_err() {
             sleep(Duration::from_millis(20)).await;
@@ -403,11 +404,11 @@
     assert!(log.len() > before);
 }
 
-/// A home that is going to stop serves on what it has begun, and gets nothing new.
+/// A stopping home finishes its open transactions and receives no new statements.
 #[tokio::test(start_paused = true)]
-async fn a_home_that_stops_hands_its_place_over() {
-    let fleet = large_fleet().await;
-    let node = bystander(&fleet);
+async fn a_stopping_home_hands_over_to_the_next() {
+    let fleet = start_large_fleet().await;
+    let node = uninvolved_node(&fleet);
     let mut open = fleet.session(node, OWN_DATABASE);
     assert!(open.begin(false).await.outcome.is_ok());
     assert!(open.write("x 1").await.outcome.is_ok());
@@ -422,11 +423,11 @@
     assert!(open.commit().await.outcome.is_ok());
 }
 
-/// With every other process out of reach, one connects by itself.
+/// A process that can't reach any other process connects to the member directly.
 #[tokio::test(start_paused = true)]
-async fn a_process_that_reaches_no_home_connects_itself() {
-    let fleet = large_fleet().await;
-    let node = bystander(&fleet);
+async fn a_process_that_reaches_no_home_connects_directly() {
+    let fleet = start_large_fleet().await;
+    let node = uninvolved_node(&fleet);
     let name = fleet.nodes[node].name.clone();
     let others = fleet.nodes.iter().filter(|other| other.name != name);
     others.for_each(|other| fleet.network().cut(&name, &other.name));
@@ -441,10 +442,11 @@
         .expect("a write is acknowledged");
 }
 
-/// Requests of the highest rank go first at a home, whichever process they come from.
+/// Homes schedule the statements of all processes together: the highest rank first, and no more
+/// than the member can run.
 #[tokio::test(start_paused = true)]
-async fn a_home_knows_the_load_of_the_whole_fleet() {
-    let fleet = large_fleet().await;
+async fn homes_limit_the_load_of_the_whole_fleet() {
+    let fleet = start_large_fleet().await;
     fleet.world.limit_slots(3, 24);
     fleet.world.change("a", |server| server.slowness = 10);
     let callers = fleet.nodes.iter().flat_map(|node| {
@@ -465,7 +467,7 @@
         served += caller.await.expect("it ends");
     }
     assert!(served > 0);
-    // What the member could not take never reached it: its queue was not filled.
+    // Statements beyond the member's capacity were not sent to it: its queue never filled up.
     let in_use = |node: usize| {
         let engine = &fleet.nodes[node].engine;
         let pool = engine.pool(&member(&fleet, "a"));
@@ -475,19 +477,19 @@
     assert!(limits <= 28, "{limits}");
 }
 
-/// Most of a large fleet asks the store nothing, and knows of changes all the same.
+/// Most processes of a large fleet don't read the store, but learn of changes through others.
 #[tokio::test(start_paused = true)]
 async fn a_large_fleet_follows_the_store_through_a_few() {
-    let mut fleet = large_fleet().await;
+    let mut fleet = start_large_fleet().await;
     let direct = |fleet: &Fleet| -> Vec<usize> {
         let nodes = fleet.nodes.iter().enumerate();
         let direct = nodes.filter(|(_, node)| node.engine.following().is_direct());
         direct.map(|(index, _)| index).collect()
     };
-    let followers = until_few_follow(&fleet).await;
+    let store_readers = wait_for_store_readers(&fleet).await;
     let mut newer = configuration(1);
     newer.version = 7;
-    for node in &followers {
+    for node in &store_readers {
         fleet.nodes[*node].engine.set_configuration(newer.clone());
     }
     let known = |fleet: &Fleet, version| {
@@ -495,11 +497,11 @@
         versions.flatten().filter(|c| c.version == version).count()
     };
     let began = Instant::now();
-    until(|| known(&fleet, 7) == LARGE).await;
+    until(|| known(&fleet, 7) == LARGE_FLEET).await;
     assert!(began.elapsed() < Duration::from_millis(100));
-    // A change of leader is known everywhere: the homes have noticed the loss.
+    // The homes detect the crash, and all processes learn of the new leader.
     let history = Arc::new(History::default());
-    let node = bystander(&fleet);
+    let node = uninvolved_node(&fleet);
     history.spawn_caller(&fleet.nodes[node].engine, OWN_DATABASE, 0);
     sleep(Duration::from_secs(1)).await;
     fleet.world.crash("a");
@@ -511,44 +513,44 @@
         views.all(|view| view.epoch == 1 && view.confirmed)
     })
     .await;
-    // Where those that follow are lost, the others go to the store themselves.
-    for node in &followers {
+    // Without the store readers, the other processes read the store themselves.
+    for node in &store_readers {
         fleet.kill(*node);
     }
-    let others = LARGE - followers.len();
+    let others = LARGE_FLEET - store_readers.len();
     until(|| {
         direct(&fleet)
             .iter()
-            .filter(|n| !followers.contains(n))
+            .filter(|n| !store_readers.contains(n))
             .count()
             == others
     })
     .await;
 }
 
-/// Followers that are cut off from the store are not followed for long.
+/// Processes that the store refuses are soon no longer used as sources.
 #[tokio::test(start_paused = true)]
 async fn a_follower_that_the_store_turns_away_is_not_followed() {
-    let fleet = large_fleet().await;
+    let fleet = start_large_fleet().await;
     let is_direct = |node: usize| fleet.nodes[node].engine.following().is_direct();
-    let followers = until_few_follow(&fleet).await;
-    for node in &followers {
+    let store_readers = wait_for_store_readers(&fleet).await;
+    for node in &store_readers {
         let name = &fleet.nodes[*node].name;
         fleet.records.refuse_node(name, true);
     }
     let began = Instant::now();
-    until(|| (0..LARGE).all(is_direct)).await;
+    until(|| (0..LARGE_FLEET).all(is_direct)).await;
     assert!(began.elapsed() < Duration::from_secs(4));
 }
 
-/// A home that stood still, and wakes with what it believed before, breaks no promise while
-/// the leader is replaced.
+/// A home that is frozen during a change of leader and resumes with outdated state violates no
+/// consistency guarantee.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn a_home_that_wakes_breaks_no_promise(#[values(0, 1)] which: usize) {
-    let fleet = large_fleet().await;
+async fn a_home_that_resumes_with_stale_state_breaks_no_guarantee(#[values(0, 1)] which: usize) {
+    let fleet = start_large_fleet().await;
     let history = Arc::new(History::default());
-    let node = bystander(&fleet);
+    let node = uninvolved_node(&fleet);
     for (index, database) in [LEADER_DATABASE, OWN_DATABASE, BOUNDED_DATABASE]
         .iter()
         .enumerate()
@@ -571,19 +573,19 @@
     assert!(commits > 20 && reads > 20, "{commits} {reads}");
 }
 
-/// A leader that is cut off together with its whole zone, and so with all of its homes, is
-/// replaced as soon as one that crashes.
+/// A leader that is cut off together with its whole zone, which includes its homes, is replaced
+/// as quickly as one that crashes.
 #[tokio::test(start_paused = true)]
 async fn a_leader_that_is_cut_off_with_its_zone_is_replaced_soon() {
-    let fleet = large_fleet_in(&["zone-a", "zone-b", "zone-c"]).await;
+    let fleet = start_large_fleet_in(&["zone-a", "zone-b", "zone-c"]).await;
     let history = Arc::new(History::default());
     let is_inside = |node: usize| fleet.nodes[node].engine.settings().zone.as_ref() == "zone-a";
-    let outside: Vec<usize> = (0..LARGE).filter(|node| !is_inside(*node)).collect();
+    let outside: Vec<usize> = (0..LARGE_FLEET).filter(|node| !is_inside(*node)).collect();
     for (index, node) in outside.iter().enumerate() {
         history.spawn_caller(&fleet.nodes[*node].engine, OWN_DATABASE, index);
     }
     sleep(Duration::from_secs(1)).await;
-    let zone: Vec<String> = (0..LARGE)
+    let zone: Vec<String> = (0..LARGE_FLEET)
         .filter(|node| is_inside(*node))
         .map(|node| fleet.nodes[node].name.clone())
         .chain(["a".to_owned()])
@@ -603,11 +605,11 @@
     assert_eq!(history.violations(&fleet.world), Vec::<String>::new());
 }
 
-/// Where a whole fleet starts anew, what the earlier lives have told of themselves holds:
-/// nobody writes, and nobody is woken.
+/// After a restart of the whole fleet, the records that the processes wrote before remain valid:
+/// none is written again, so no process is notified of changes.
 #[tokio::test(start_paused = true)]
 async fn a_fleet_that_starts_anew_leaves_its_records_alone() {
-    let mut fleet = large_fleet().await;
+    let mut fleet = start_large_fleet().await;
     let names: Vec<String> = fleet.nodes.iter().map(|node| node.name.clone()).collect();
     let versions = |fleet: &Fleet| -> Vec<u64> {
         let records = names
@@ -616,34 +618,35 @@
         records.map(|record| record.expect("one").version).collect()
     };
     let before = versions(&fleet);
-    (0..LARGE).for_each(|node| fleet.kill(node));
+    (0..LARGE_FLEET).for_each(|node| fleet.kill(node));
     let calls = fleet.records.calls();
     for (index, name) in names.iter().enumerate() {
         fleet.nodes[index] = fleet.respawn_node(name);
     }
-    let knows_fleet = |node: &Node| node.engine.processes() == LARGE;
+    let knows_fleet = |node: &Node| node.engine.processes() == LARGE_FLEET;
     until(|| fleet.nodes.iter().all(knows_fleet)).await;
     sleep(Duration::from_millis(900)).await;
     assert_eq!(versions(&fleet), before);
-    // Each reads the records once and follows them until it knows whom to follow.
-    let each = (fleet.records.calls() - calls) / LARGE as u64;
+    // Each process reads the records once and watches them until it knows its sources.
+    let each = (fleet.records.calls() - calls) / LARGE_FLEET as u64;
     assert!(each <= 4, "{each}");
 }
 
-/// Who goes back to the store goes on from what it was told: nothing is read in whole again.
+/// A process that falls back to the store resumes from the version that it got from other
+/// processes, without reading whole tables again.
 #[tokio::test(start_paused = true)]
 async fn a_process_that_goes_back_to_the_store_goes_on_from_what_it_knows() {
-    let mut fleet = large_fleet().await;
+    let mut fleet = start_large_fleet().await;
     let is_direct = |fleet: &Fleet, node: usize| fleet.nodes[node].engine.following().is_direct();
-    let followers = until_few_follow(&fleet).await;
+    let store_readers = wait_for_store_readers(&fleet).await;
     let before = fleet.records.whole_reads();
-    followers.iter().for_each(|node| fleet.kill(*node));
-    let others = (0..LARGE).filter(|node| !followers.contains(node));
+    store_readers.iter().for_each(|node| fleet.kill(*node));
+    let others = (0..LARGE_FLEET).filter(|node| !store_readers.contains(node));
     let others: Vec<usize> = others.collect();
     until(|| others.iter().all(|node| is_direct(&fleet, *node))).await;
     sleep(Duration::from_secs(1)).await;
     assert_eq!(fleet.records.whole_reads(), before);
-    // They know of what is written from then on.
+    // They learn of later writes.
     let key = "node/another";
     let store = fleet.records.for_node("another");
     let put = store.put_if(key, 0, bytes("x")).await;
@@ -655,15 +658,15 @@
     until(|| others.iter().all(knows)).await;
 }
 
-/// A home that has just started, and can't read the store yet, runs nothing for others: they
-/// go on to the next one, and take nothing of it for the member's fault.
+/// A home that has just started and has no directory yet runs no statements for other processes.
+/// They use the next candidate and don't count this as a failure of the member.
 #[tokio::test(start_paused = true)]
 async fn a_home_that_does_not_know_the_member_is_passed_over() {
-    let fleet = large_fleet().await;
+    let fleet = start_large_fleet().await;
     let new = homes_of(&fleet, "a")[0];
     fleet.nodes[new].abort();
     fleet.nodes[new].engine.set_directory(Directory::default());
-    for node in (0..LARGE).filter(|node| *node != new) {
+    for node in (0..LARGE_FLEET).filter(|node| *node != new) {
         let mut client = fleet.session(node, OWN_DATABASE);
         for _ in 0..3 {
             let reply = client.write("x 1").await;
@@ -672,19 +675,19 @@
     }
 }
 
-/// An evidence reader that is cut off from everybody holds the others up for a moment only:
-/// they ask the one that follows.
+/// An evidence reader that is cut off from all processes delays them only briefly: they switch to
+/// the next candidate.
 #[tokio::test(start_paused = true)]
-async fn an_evidence_reader_that_is_cut_off_is_not_asked_again_and_again() {
-    let fleet = large_fleet().await;
+async fn an_unreachable_evidence_reader_is_skipped() {
+    let fleet = start_large_fleet().await;
     let reader = fleet.nodes[0].engine.homes().evidence_readers(0)[0]
         .node
         .to_string();
     let homes = homes_of(&fleet, "a");
-    // A home of the leader, which asks nobody else for evidence first.
+    // A home of the leader, which has no other source of evidence to ask first.
     let home = homes.iter().find(|home| fleet.nodes[**home].name != reader);
     let mut client = fleet.session(*home.expect("one"), LEADER_DATABASE);
-    // Nobody writes: all evidence is the store's, and the link to the evidence reader is open.
+    // Without writes, all evidence comes from the store. The link to the reader is open by now.
     assert!(slow_reads(&mut client, 20).await <= 1);
     for other in fleet.nodes.iter().filter(|node| node.name != reader) {
         fleet.network().cut(&reader, &other.name);
@@ -694,7 +697,7 @@
     assert!(slow <= 5, "{slow}");
 }
 
-/// Of `count` reads, one each tenth of a second, how many took long.
+/// Runs `count` reads with pauses of 100 ms; returns how many took longer than 60 ms.
 async fn slow_reads(client: &mut Client, count: usize) -> usize {
     let mut slow = 0;
     for _ in 0..count {
--- a/crates/engine/tests/rate.rs
+++ b/crates/engine/tests/rate.rs
@@ -1,5 +1,5 @@
-//! Rate limits over the whole fleet: never exceeded by more than they may be, and nobody
-//! refused below them.
+//! Fleet-wide rate limits: they are exceeded by no more than the permitted excess, and no tenant
+//! below its limit is refused.
 
 mod support;
 
@@ -23,8 +23,8 @@
     excess: 0.1,
     slack: 20.0,
 };
-/// Processes of a fleet that needs homes, in three zones.
-const LARGE: usize = 21;
+/// Size of a fleet that uses homes, in three zones.
+const LARGE_FLEET: usize = 21;
 const ZONES: &[&str] = &["zone-a", "zone-b", "zone-c"];
 const TENANT: &str = "busy";
 const KEY: &[u8] = b"key-busy";
@@ -43,21 +43,21 @@
     next
 }
 
-async fn fleet_with(nodes: usize, limit: RateLimit) -> Fleet {
+async fn start_fleet(nodes: usize, limit: RateLimit) -> Fleet {
     let policy = TenantPolicy {
         revocation: Duration::from_secs(5),
         rates: Some(BOUNDS),
     };
     let fleet = Fleet::start_with(ZONES, nodes, Some(policy)).await;
-    declare(&fleet, with_limit(2, limit)).await;
+    apply_configuration(&fleet, with_limit(2, limit)).await;
     let counted = |shard| fleet.records.get(&format!("lease/rate-{shard}")).is_some();
     until(|| (0..SHARD_COUNT).all(counted)).await;
-    // Buckets fill up to what they hold.
+    // Until the buckets are full.
     sleep(Duration::from_secs(4)).await;
     fleet
 }
 
-async fn declare(fleet: &Fleet, next: Configuration) {
+async fn apply_configuration(fleet: &Fleet, next: Configuration) {
     let version = next.version;
     fleet.configuration.send_replace(next);
     until(|| {
@@ -69,18 +69,18 @@
     .await;
 }
 
-/// The processes that count a shard now.
-fn counters(fleet: &Fleet) -> Vec<usize> {
+/// Returns the processes that currently hold a counter lease.
+fn counter_nodes(fleet: &Fleet) -> Vec<usize> {
     let lease = |shard: usize| {
         let record = fleet.records.get(&format!("lease/rate-{shard}"));
         let value = record.expect("a lease").value;
         String::from_utf8_lossy(&value).into_owned()
     };
     let leases: Vec<String> = (0..SHARD_COUNT).map(lease).collect();
-    let holds = |name: &str| {
+    let holds_lease = |name: &str| {
         let is_named = |lease: &String| {
             let mut matches = lease.match_indices(name);
-            // "node-1" is not "node-11".
+            // "node-1" must not match "node-11".
             matches.any(|(at, _)| {
                 let next = lease.as_bytes().get(at + name.len());
                 next.is_none_or(|byte| !byte.is_ascii_digit())
@@ -89,11 +89,11 @@
         leases.iter().any(is_named)
     };
     (0..fleet.nodes.len())
-        .filter(|node| holds(&fleet.nodes[*node].name))
+        .filter(|node| holds_lease(&fleet.nodes[*node].name))
         .collect()
 }
 
-/// Most runs in any span of the window's length.
+/// Maximum number of statements in any time span as long as the window.
 fn busiest_window(runs: &[Instant], window: Duration) -> usize {
     let mut most = 0;
     let mut first = 0;
@@ -106,8 +106,8 @@
     most
 }
 
-/// Callers that ask at each process every `pause`, over and over. Those of a process end with
-/// it.
+/// Clients that send a read to each process every `pause`. Those of a process end when it is
+/// killed.
 struct Load {
     pause: Duration,
     callers: Vec<JoinSet<()>>,
@@ -123,7 +123,7 @@
 
     fn start(&mut self, fleet: &Fleet, node: usize) {
         let engine = Arc::clone(&fleet.nodes[node].engine);
-        self.callers[node].spawn(ask_for_ever(engine, self.pause));
+        self.callers[node].spawn(request_continuously(engine, self.pause));
     }
 
     fn kill(&mut self, fleet: &mut Fleet, node: usize) {
@@ -132,11 +132,11 @@
     }
 }
 
-async fn ask_for_ever(engine: Arc<Engine>, pause: Duration) {
-    let mut asking = JoinSet::new();
+async fn request_continuously(engine: Arc<Engine>, pause: Duration) {
+    let mut requests = JoinSet::new();
     loop {
         let engine = Arc::clone(&engine);
-        asking.spawn(async move {
+        requests.spawn(async move {
             let credential = Some(Credential::from_key(KEY));
             let database = LEADER_DATABASE.into();
             let opened = stilequay_engine::session::Session::open(engine, database, credential);
@@ -144,59 +144,59 @@
             let mut client = Client { session, next: 0 };
             client.read("x").await;
         });
-        while asking.try_join_next().is_some() {}
+        while requests.try_join_next().is_some() {}
         sleep(pause).await;
     }
 }
 
-/// What strikes the fleet while a tenant asks for many times its limit.
+/// Disruption of the fleet while a tenant requests many times its limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Blow {
+enum Disruption {
     Nothing,
     CountersKilled,
     CountersFrozen,
     StoreLost,
     AllRestarted,
-    Lowered,
+    LimitLowered,
 }
 
 #[rstest]
-#[case::nothing(Blow::Nothing)]
-#[case::counters_killed(Blow::CountersKilled)]
-#[case::counters_frozen(Blow::CountersFrozen)]
-#[case::store_lost(Blow::StoreLost)]
-#[case::all_restarted(Blow::AllRestarted)]
-#[case::limit_lowered(Blow::Lowered)]
+#[case::nothing(Disruption::Nothing)]
+#[case::counters_killed(Disruption::CountersKilled)]
+#[case::counters_frozen(Disruption::CountersFrozen)]
+#[case::store_lost(Disruption::StoreLost)]
+#[case::all_restarted(Disruption::AllRestarted)]
+#[case::limit_lowered(Disruption::LimitLowered)]
 #[tokio::test(start_paused = true)]
-async fn no_window_exceeds_the_limit_by_more_than_it_may(#[case] blow: Blow) {
+async fn no_window_exceeds_the_limit_by_more_than_it_may(#[case] disruption: Disruption) {
     let limit = RateLimit {
         per_second: 30.0,
         burst: 30.0,
     };
-    let mut fleet = fleet_with(LARGE, limit).await;
+    let mut fleet = start_fleet(LARGE_FLEET, limit).await;
     let mut load = Load::spawn(&fleet, Duration::from_millis(150));
     sleep(Duration::from_secs(4)).await;
-    strike(&mut fleet, &mut load, blow).await;
+    disrupt(&mut fleet, &mut load, disruption).await;
     sleep(Duration::from_secs(8)).await;
     let runs = fleet.world.runs_of(TENANT);
     let busiest = busiest_window(&runs, BOUNDS.window);
     let most = BOUNDS.max_operations(limit);
     assert!(busiest as f64 <= most, "{busiest} of {most}");
-    // The tenant has what it may have, where nothing keeps it from that.
+    // The tenant can also use its whole limit.
     let least = limit.per_second * BOUNDS.window.as_secs_f64();
     assert!(busiest as f64 > least, "{busiest} of {least}");
 }
 
-async fn strike(fleet: &mut Fleet, load: &mut Load, blow: Blow) {
-    match blow {
-        Blow::Nothing => {}
-        Blow::CountersKilled => {
-            for node in counters(fleet) {
+async fn disrupt(fleet: &mut Fleet, load: &mut Load, disruption: Disruption) {
+    match disruption {
+        Disruption::Nothing => {}
+        Disruption::CountersKilled => {
+            for node in counter_nodes(fleet) {
                 load.kill(fleet, node);
             }
         }
-        Blow::CountersFrozen => {
-            let frozen = counters(fleet);
+        Disruption::CountersFrozen => {
+            let frozen = counter_nodes(fleet);
             let names: Vec<String> = frozen
                 .iter()
                 .map(|node| fleet.nodes[*node].name.clone())
@@ -205,12 +205,12 @@
             sleep(Duration::from_secs(6)).await;
             names.iter().for_each(|name| fleet.freeze(name, false));
         }
-        Blow::StoreLost => {
+        Disruption::StoreLost => {
             fleet.records.set_fault(Fault::Refusing);
             sleep(Duration::from_secs(7)).await;
             fleet.records.set_fault(Fault::None);
         }
-        Blow::AllRestarted => {
+        Disruption::AllRestarted => {
             for node in 0..fleet.nodes.len() {
                 load.kill(fleet, node);
             }
@@ -220,14 +220,14 @@
                 load.start(fleet, node);
             }
         }
-        Blow::Lowered => {
+        Disruption::LimitLowered => {
             let lower = RateLimit {
                 per_second: 6.0,
                 burst: 6.0,
             };
             let lowered = Instant::now();
-            declare(fleet, with_limit(3, lower)).await;
-            // The time in which changes of the configuration may take, and a permit's life.
+            apply_configuration(fleet, with_limit(3, lower)).await;
+            // Time within which configuration changes apply, plus the lifetime of a permit.
             sleep(Duration::from_millis(3_200)).await;
             let from = Instant::now();
             sleep(Duration::from_secs(10)).await;
@@ -241,8 +241,8 @@
     }
 }
 
-/// A tenant that asks for five eighths of its limit, from all processes, with and without one
-/// of the counters.
+/// A tenant at five eighths of its limit, spread over all processes, is never refused, even if
+/// one of the counters fails.
 #[rstest]
 #[case::all_counters(false)]
 #[case::one_is_lost(true)]
@@ -252,15 +252,15 @@
         per_second: 32.0,
         burst: 32.0,
     };
-    let mut fleet = fleet_with(LARGE, limit).await;
-    let lost = counters(&fleet)[0];
-    let asking: Vec<usize> = (0..LARGE).filter(|node| *node != lost).collect();
+    let mut fleet = start_fleet(LARGE_FLEET, limit).await;
+    let lost = counter_nodes(&fleet)[0];
+    let remaining: Vec<usize> = (0..LARGE_FLEET).filter(|node| *node != lost).collect();
     let mut refused = Vec::new();
     for round in 0..200 {
         if round == 40 && one_is_lost {
             fleet.kill(lost);
         }
-        let node = asking[round % asking.len()];
+        let node = remaining[round % remaining.len()];
         let engine = &fleet.nodes[node].engine;
         let credential = Some(Credential::from_key(KEY));
         let mut client = Client::open_with(engine, LEADER_DATABASE, credential);
@@ -275,14 +275,14 @@
     assert!(refused.is_empty(), "{refused:?}");
 }
 
-/// Beyond the limit a request is refused at once, with the time to come back.
+/// Requests beyond the limit are refused immediately, with a time to retry after.
 #[tokio::test(start_paused = true)]
-async fn a_refusal_comes_at_once_and_tells_when_to_come_back() {
+async fn a_refusal_is_immediate_and_has_a_retry_time() {
     let limit = RateLimit {
         per_second: 3.0,
         burst: 3.0,
     };
-    let fleet = fleet_with(3, limit).await;
+    let fleet = start_fleet(3, limit).await;
     let credential = Some(Credential::from_key(KEY));
     let mut client = Client::open_with(&fleet.nodes[0].engine, LEADER_DATABASE, credential);
     for _ in 0..40 {
@@ -312,7 +312,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lower_share_holds_from_its_moment_on() {
+async fn a_lower_share_takes_effect_at_its_time() {
     let began = Instant::now();
     let mut bucket = TokenBucket::new(share(10.0, 10.0, 10.0), began);
     let lower_at = began + Duration::from_secs(4);
@@ -328,7 +328,7 @@
     assert_eq!(taken_at(&mut bucket, began + Duration::from_secs(2)), 10);
     assert_eq!(taken_at(&mut bucket, began + Duration::from_secs(5)), 1);
     assert_eq!(taken_at(&mut bucket, began + Duration::from_secs(6)), 1);
-    // More holds at once.
+    // An increase takes effect immediately.
     let now = began + Duration::from_secs(6);
     bucket.set_share(share(10.0, 10.0, 0.0), now, now + Duration::from_secs(9));
     assert_eq!(taken_at(&mut bucket, now + Duration::from_secs(1)), 10);
@@ -337,7 +337,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However tokens are asked for, no span has more of them than the bucket allows.
+    /// For any sequence of requests, no time span contains more tokens than the bucket allows.
     #[test]
     fn no_span_of_a_bucket_has_more_than_it_allows(
         pauses_ms in prop::collection::vec(0_u64..400, 1..300),
@@ -363,14 +363,19 @@
     }
 }
 
-/// The fleet's side of the sum, with counters that take over and permits that are used as late
-/// as they may be. What the buckets grant is asked for at every moment.
-fn busiest_of_model(limit: RateLimit, life: Duration, takeovers: &[u64], firsts: bool) -> f64 {
+/// Simulates the counters of all shards with takeovers and with permits that are used as late as
+/// possible, for a tenant that takes every available token. Returns the maximum per window.
+fn busiest_window_of_model(
+    limit: RateLimit,
+    permit_lifetime: Duration,
+    takeovers: &[u64],
+    always_initial: bool,
+) -> f64 {
     let step = Duration::from_millis(5);
     let began = Instant::now();
     let window = BOUNDS.window;
     let shares = BOUNDS.share(limit);
-    let without_first = BucketShare {
+    let without_initial = BucketShare {
         initial: 0.0,
         ..shares
     };
@@ -380,24 +385,24 @@
     let mut runs = Vec::new();
     for count in 0..3_200_u64 {
         let now = began + step * u32::try_from(count).expect("small");
-        if let Some(place) = takeovers.iter().position(|at| *at == count) {
-            // Only the first of those that come together begins with tokens.
-            let begins_with = match place == 0 || firsts {
+        if let Some(position) = takeovers.iter().position(|at| *at == count) {
+            // Of several takeovers in quick succession, only the first has initial tokens.
+            let new_share = match position == 0 || always_initial {
                 true => shares,
-                false => without_first,
+                false => without_initial,
             };
             buckets = (0..SHARD_COUNT)
-                .map(|_| TokenBucket::new(begins_with, now))
+                .map(|_| TokenBucket::new(new_share, now))
                 .collect();
         }
-        // After a rest the tenant asks for all that there is; permits granted in the last
-        // life are all used at its end.
-        let asks = count >= 1_600;
+        // After an idle time the tenant takes all available tokens. Permits granted in the first
+        // lifetime are all used at its end.
+        let is_requesting = count >= 1_600;
         for bucket in &mut buckets {
-            while asks && bucket.take(now).is_ok() {
-                let held_back = now < began + step * 1_600 + life;
+            while is_requesting && bucket.take(now).is_ok() {
+                let held_back = now < began + step * 1_600 + permit_lifetime;
                 runs.push(match held_back {
-                    true => now + life,
+                    true => now + permit_lifetime,
                     false => now,
                 });
             }
@@ -413,7 +418,7 @@
 #[case::large(196.0, 196.0)]
 fn the_sum_holds_with_takeovers_in_a_window(#[case] per_second: f64, #[case] burst: f64) {
     let limit = RateLimit { per_second, burst };
-    let busiest = busiest_of_model(
+    let busiest = busiest_window_of_model(
         limit,
         BOUNDS.permit_lifetime(),
         &[1_700, 1_900, 2_100],
@@ -422,48 +427,55 @@
     assert!(busiest <= BOUNDS.max_operations(limit), "{busiest}");
 }
 
-/// Mistakes that the sum must show: permits that last for long, and counters that all begin
-/// with tokens, however short the one before has counted.
+/// The simulation detects injected bugs: permits that are valid for too long, and takeovers that
+/// always have initial tokens, however short the previous one lasted.
 #[rstest]
-#[case::all_begin_with_tokens(true, 1)]
-#[case::permits_last_for_long(false, 12)]
-fn planted_mistakes_break_the_sum(#[case] firsts: bool, #[case] lives: u32) {
+#[case::takeovers_always_have_initial_tokens(true, 1)]
+#[case::permits_are_valid_for_long(false, 12)]
+fn injected_bugs_exceed_the_limit(#[case] always_initial: bool, #[case] lifetimes: u32) {
     let limit = RateLimit {
         per_second: 196.0,
         burst: 196.0,
     };
-    let life = BOUNDS.permit_lifetime() * lives;
-    let busiest = busiest_of_model(limit, life, &[1_700, 1_900, 2_100], firsts);
+    let permit_lifetime = BOUNDS.permit_lifetime() * lifetimes;
+    let busiest = busiest_window_of_model(
+        limit,
+        permit_lifetime,
+        &[1_700, 1_900, 2_100],
+        always_initial,
+    );
     assert!(busiest > BOUNDS.max_operations(limit), "{busiest}");
 }
 
-/// All counters are turned away by the store, or hear nothing of it, while it serves the
-/// others: they are replaced little later than their leases lapse, and nobody waits for long
-/// meanwhile.
+/// The store refuses all counters, or doesn't answer them, but serves the other processes. The
+/// counters are replaced shortly after their leases expire, and no request waits for long until
+/// then.
 #[rstest]
 #[case::refused(false)]
 #[case::not_answered(true)]
 #[tokio::test(start_paused = true)]
-async fn counters_that_the_store_turns_away_are_replaced(#[case] silent: bool) {
+async fn counters_that_the_store_turns_away_are_replaced(#[case] is_silent: bool) {
     let limit = RateLimit {
         per_second: 90.0,
         burst: 90.0,
     };
-    let fleet = fleet_with(LARGE, limit).await;
-    let lost = counters(&fleet);
+    let fleet = start_fleet(LARGE_FLEET, limit).await;
+    let lost = counter_nodes(&fleet);
     assert_eq!(lost.len(), SHARD_COUNT);
     for node in &lost {
         let name = &fleet.nodes[*node].name;
-        match silent {
+        match is_silent {
             true => fleet.records.ignore_node(name),
             false => fleet.records.refuse_node(name, true),
         }
     }
-    let asking: Vec<usize> = (0..LARGE).filter(|node| !lost.contains(node)).collect();
+    let remaining: Vec<usize> = (0..LARGE_FLEET)
+        .filter(|node| !lost.contains(node))
+        .collect();
     let mut unserved = Duration::ZERO;
     let mut last = Instant::now();
     for round in 0..300 {
-        let engine = &fleet.nodes[asking[round % asking.len()]].engine;
+        let engine = &fleet.nodes[remaining[round % remaining.len()]].engine;
         let credential = Some(Credential::from_key(KEY));
         let mut client = Client::open_with(engine, LEADER_DATABASE, credential);
         let began = Instant::now();
