--- a/crates/engine/tests/departures.rs
+++ b/crates/engine/tests/departures.rs
@@ -177,7 +177,7 @@
     let version = engines[1].directory().version + 1_000_000;
     let directory = engines[0].directory();
     engines[0].set_directory(directory.with_entries(version, present.collect(), departure));
-    fleet.world.hidden.lock().unwrap().insert("c".to_owned());
+    fleet.world.unlisted.lock().unwrap().insert("c".to_owned());
     stilequay_engine::peers::declared::query(engines[1]).await;
     let state = engines[1]
         .directory()
--- a/crates/engine/tests/evacuation.rs
+++ b/crates/engine/tests/evacuation.rs
@@ -12,7 +12,8 @@
 use stilequay_engine::verdict::{FailureReason, Verdict};
 use support::records::Fault;
 use support::{
-    BOUNDED_DATABASE, Client, Fleet, GROUP, LEADER_DATABASE, OWN_DATABASE, read, seen, until, write,
+    BOUNDED_DATABASE, Client, Fleet, GROUP, LEADER_DATABASE, OWN_DATABASE, read, read_row, until,
+    write,
 };
 use tokio::time::{Instant, sleep, sleep_until};
 
@@ -27,7 +28,7 @@
 }
 
 async fn fleet_of(nodes: usize) -> Fleet {
-    let fleet = Fleet::start_evacuated_within(BOUND, ZONES, nodes).await;
+    let fleet = Fleet::start_with_evacuation_bound(BOUND, ZONES, nodes).await;
     let is_known = |node: &support::Node| node.engine.homes().fleet().len() == nodes;
     until(|| fleet.nodes.iter().all(is_known)).await;
     sleep(Duration::from_secs(3)).await;
@@ -123,7 +124,7 @@
     let mut there = async |reads: usize| {
         let mut count = 0;
         for _ in 0..reads {
-            count += usize::from(seen(&client.read("x").await).0 == "b");
+            count += usize::from(read_row(&client.read("x").await).0 == "b");
             sleep(Duration::from_millis(5)).await;
         }
         count
@@ -221,7 +222,7 @@
     let last = last_after(&fleet, "a", acked).await;
     assert!(last < BOUND, "{last:?}");
     let mut client = Client::open(&listener.engine, BOUNDED_DATABASE);
-    assert_ne!(seen(&client.read("x").await).0, "a");
+    assert_ne!(read_row(&client.read("x").await).0, "a");
 }
 
 /// The store answers a third of the processes no more: others tell them.
@@ -289,7 +290,7 @@
     sleep(Duration::from_secs(1)).await;
     let last = last_after(&fleet, "a", acked).await;
     assert!(last < BOUND, "{last:?}");
-    assert_ne!(seen(&fresh.read("x").await).0, "a");
+    assert_ne!(read_row(&fresh.read("x").await).0, "a");
     write_until_done(&fleet, 3).await;
 }
 
@@ -344,7 +345,7 @@
     sleep(BOUND).await;
     let mut client = fleet.session(1, BOUNDED_DATABASE);
     for _ in 0..10 {
-        assert_eq!(seen(&client.read("x").await).0, "b");
+        assert_eq!(read_row(&client.read("x").await).0, "b");
     }
     assert_eq!(fleet.world.leader(), "a");
     assert!(fleet.world.promotions().is_empty());
@@ -393,7 +394,7 @@
     sleep(BOUND).await;
     let mut client = Client::open(&front.engine, LEADER_DATABASE);
     for _ in 0..10 {
-        assert_eq!(seen(&client.read("x").await).0, "a");
+        assert_eq!(read_row(&client.read("x").await).0, "a");
     }
 }
 
@@ -409,7 +410,7 @@
     let asked = Instant::now();
     for statement in [read("x"), write("x 1")] {
         for database in [LEADER_DATABASE, BOUNDED_DATABASE, OWN_DATABASE] {
-            let reply = fleet.session(0, database).ask(statement.clone()).await;
+            let reply = fleet.session(0, database).send(statement.clone()).await;
             assert_eq!(refusal(&reply), FailureReason::ZoneEvacuated, "{database}");
         }
     }
@@ -430,12 +431,16 @@
 async fn a_successor_that_is_behind_is_waited_for() {
     let fleet = fleet_of(3).await;
     write_until_done(&fleet, 0).await;
-    fleet.world.change("c", |server| server.deaf = true);
+    fleet
+        .world
+        .change("c", |server| server.not_receiving = true);
     write_until_done(&fleet, 0).await;
     evacuate(&fleet, &["zone-a", "zone-b"]);
     sleep(Duration::from_secs(2)).await;
     assert!(fleet.world.promotions().is_empty());
-    fleet.world.change("c", |server| server.deaf = false);
+    fleet
+        .world
+        .change("c", |server| server.not_receiving = false);
     write_until_done(&fleet, 0).await;
     sleep(Duration::from_secs(2)).await;
     assert_eq!(fleet.world.leader(), "c");
@@ -451,7 +456,7 @@
     assert!(client.begin(false).await.outcome.is_ok());
     let mut ids = Vec::new();
     while acked.elapsed() < BOUND.mul_f64(0.55) {
-        let (id, reply) = client.ask_as(write("x 1")).await;
+        let (id, reply) = client.send_with_id(write("x 1")).await;
         assert!(reply.outcome.is_ok(), "{reply:?}");
         ids.push(id);
         sleep(Duration::from_millis(100)).await;
--- a/crates/engine/tests/evacuation_regions.rs
+++ b/crates/engine/tests/evacuation_regions.rs
@@ -44,7 +44,7 @@
 /// caller is told at once, and why.
 #[tokio::test(start_paused = true)]
 async fn reads_of_an_evacuated_home_region_are_refused_at_once() {
-    let fleet = Fleet::start_bound(ZONES, 3, None, Some(BOUND), regions).await;
+    let fleet = Fleet::start_with_options(ZONES, 3, None, Some(BOUND), regions).await;
     fleet.configuration.send_replace(northern_reads());
     sleep(Duration::from_secs(1)).await;
     let mut client = fleet.session(2, BOUNDED_DATABASE);
--- a/crates/engine/tests/fleet_start.rs
+++ b/crates/engine/tests/fleet_start.rs
@@ -37,14 +37,14 @@
 /// The calls and the whole readings since `before`.
 fn cost(fleet: &Fleet, before: (u64, u64)) -> (u64, u64) {
     let records = &fleet.records;
-    (records.calls() - before.0, records.whole_reads() - before.1)
+    (records.calls() - before.0, records.full_reads() - before.1)
 }
 
 /// Ends all processes at once and starts them again; returns once each knows the fleet. Few of them
 /// read whole tables meanwhile, and each asks the store a few times only.
 async fn restart_all(fleet: &mut Fleet) {
     (0..PROCESSES).for_each(|node| fleet.kill(node));
-    let before = (fleet.records.calls(), fleet.records.whole_reads());
+    let before = (fleet.records.calls(), fleet.records.full_reads());
     let names: Vec<String> = fleet.nodes.iter().map(|node| node.name.clone()).collect();
     for (index, name) in names.iter().enumerate() {
         fleet.nodes[index] = fleet.respawn_node(name);
@@ -92,7 +92,7 @@
 async fn a_fleet_that_starts_again_over_slow_links_does_not_turn_to_the_store() {
     let mut fleet = Fleet::start_in(ZONES, PROCESSES).await;
     until_known(&fleet).await;
-    *fleet.world.further.lock().unwrap() = members_of_groups(GROUPS).collect();
+    *fleet.world.other_members.lock().unwrap() = members_of_groups(GROUPS).collect();
     fleet.configuration.send_replace(with_groups(2, GROUPS));
     until(|| fleet.records.get("fleet").is_some()).await;
     sleep(Duration::from_secs(5)).await;
@@ -126,9 +126,9 @@
     };
     let node = fleet.nodes.iter().rposition(is_bystander).expect("one");
     let name = fleet.nodes[node].name.clone();
-    let whole = fleet.records.whole_reads();
+    let whole = fleet.records.full_reads();
     fleet.kill(node);
     fleet.nodes[node] = fleet.respawn_node(&name);
     until(|| knows_fleet(&fleet.nodes[node])).await;
-    assert_eq!(fleet.records.whole_reads(), whole);
+    assert_eq!(fleet.records.full_reads(), whole);
 }
--- a/crates/engine/tests/following.rs
+++ b/crates/engine/tests/following.rs
@@ -141,7 +141,7 @@
     for place in places {
         let engine = &fleet.nodes[*place].engine;
         let mut client = Client::open_with(engine, BOUNDED_DATABASE, Some(credential()));
-        let reply = client.ask(read("x")).await;
+        let reply = client.send(read("x")).await;
         reasons.extend(reply.outcome.err().map(|failure| failure.reason));
     }
     reasons
@@ -260,8 +260,8 @@
     // Those that are cut ask their own side in vain; only the others count.
     cut.iter().for_each(|place| fleet.nodes[*place].abort());
     let counts = || {
-        let asked = fleet.peers.news_asked.load(Ordering::Relaxed);
-        (asked, fleet.peers.news_told.load(Ordering::Relaxed))
+        let asked = fleet.peers.update_requests.load(Ordering::Relaxed);
+        (asked, fleet.peers.update_replies.load(Ordering::Relaxed))
     };
     let before = counts();
     sleep(Duration::from_secs(6)).await;
@@ -276,7 +276,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_restart_of_all_is_over_soon() {
     let mut fleet = fleet().await;
-    let reads = fleet.records.whole_reads();
+    let reads = fleet.records.full_reads();
     (0..NODES).for_each(|place| fleet.kill(place));
     sleep(Duration::from_millis(500)).await;
     let names: Vec<String> = fleet.nodes.iter().map(|node| node.name.clone()).collect();
@@ -289,5 +289,5 @@
     };
     until(|| fleet.nodes.iter().all(knows)).await;
     assert!(began.elapsed() < GAP, "{:?}", began.elapsed());
-    assert!(fleet.records.whole_reads() - reads <= NODES as u64);
+    assert!(fleet.records.full_reads() - reads <= NODES as u64);
 }
--- a/crates/engine/tests/homes.rs
+++ b/crates/engine/tests/homes.rs
@@ -22,7 +22,7 @@
 use support::history::History;
 use support::{
     BOUNDED_DATABASE, Client, Fleet, GROUP, LEADER_DATABASE, Node, OWN_DATABASE, bytes,
-    configuration, seen, until,
+    configuration, read_row, until,
 };
 use tokio::time::{Instant, sleep, timeout};
 
@@ -290,7 +290,7 @@
         assert!(own.write("x 1").await.outcome.is_ok());
         assert!(own.read("x").await.outcome.is_ok());
         let mut leader = fleet.session(node, LEADER_DATABASE);
-        assert_eq!(seen(&leader.read("x").await).0, "a");
+        assert_eq!(read_row(&leader.read("x").await).0, "a");
         let engine = &fleet.nodes[node].engine;
         let connected = engine.pools().iter().any(|pool| pool.load().in_use > 0);
         assert!(!connected || homes.contains(&node));
@@ -322,7 +322,7 @@
     for _ in 0..3 {
         for (client, value) in [(&mut first, "one"), (&mut second, "two")] {
             let reply = client.execute("s", "x").await;
-            assert_eq!(seen(&reply).0, "a");
+            assert_eq!(read_row(&reply).0, "a");
             let told = format!(" colour={value}");
             assert_eq!(reply.rows[1..], [support::bytes(&told)]);
         }
@@ -372,7 +372,7 @@
     let mut client = fleet.session(node, OWN_DATABASE);
     assert!(client.write("x 0").await.outcome.is_ok());
     let before = fleet.world.server("a").log.len();
-    fleet.world.change("a", |server| server.slowness = 50);
+    fleet.world.change("a", |server| server.slowdown = 50);
     let writing = tokio::spawn(async move {
         let reply = client.write("x 1").await;
         (client, reply)
@@ -388,7 +388,7 @@
     }
     let (mut client, reply) = writing.await.expect("the write ends");
     assert_eq!(verdict(&reply), Some(Verdict::MayHaveRun), "{reply:?}");
-    fleet.world.change("a", |server| server.slowness = 1);
+    fleet.world.change("a", |server| server.slowdown = 1);
     // Others hold the connections now.
     let served = async {
         while client.write("x 2").await.outcome.is_err() {
@@ -445,8 +445,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_home_knows_the_load_of_the_whole_fleet() {
     let fleet = large_fleet().await;
-    fleet.world.limit_slots(3, 24);
-    fleet.world.change("a", |server| server.slowness = 10);
+    fleet.world.set_slot_limits(3, 24);
+    fleet.world.change("a", |server| server.slowdown = 10);
     let callers = fleet.nodes.iter().flat_map(|node| {
         (0..3).map(|_| {
             let mut client = Client::open(&node.engine, LEADER_DATABASE);
@@ -636,13 +636,13 @@
     let mut fleet = large_fleet().await;
     let is_direct = |fleet: &Fleet, node: usize| fleet.nodes[node].engine.following().is_direct();
     let followers = until_few_follow(&fleet).await;
-    let before = fleet.records.whole_reads();
+    let before = fleet.records.full_reads();
     followers.iter().for_each(|node| fleet.kill(*node));
     let others = (0..LARGE).filter(|node| !followers.contains(node));
     let others: Vec<usize> = others.collect();
     until(|| others.iter().all(|node| is_direct(&fleet, *node))).await;
     sleep(Duration::from_secs(1)).await;
-    assert_eq!(fleet.records.whole_reads(), before);
+    assert_eq!(fleet.records.full_reads(), before);
     // They know of what is written from then on.
     let key = "node/another";
     let store = fleet.records.for_node("another");
--- a/crates/engine/tests/leader_change.rs
+++ b/crates/engine/tests/leader_change.rs
@@ -113,7 +113,7 @@
 #[tokio::test(start_paused = true)]
 async fn candidates_that_are_not_told_read_the_lease() {
     let mut fleet = fleet().await;
-    fleet.peers.set_away(true);
+    fleet.peers.set_isolated(true);
     sleep(Duration::from_secs(3)).await;
     let lost = holder(&fleet);
     fleet.kill(lost);
--- a/crates/engine/tests/leadership.rs
+++ b/crates/engine/tests/leadership.rs
@@ -12,7 +12,7 @@
 use stilequay_engine::leadership::record::{TermPhase, TermRecord};
 use stilequay_engine::verdict::{FailureReason, Verdict};
 use support::records::Fault;
-use support::{Client, Fleet, GROUP, LEADER_DATABASE, OWN_DATABASE, seen, until};
+use support::{Client, Fleet, GROUP, LEADER_DATABASE, OWN_DATABASE, read_row, until};
 use tokio::time::{Instant, sleep};
 
 /// Longest time in which a lost leader is replaced, on the paused clock.
@@ -51,7 +51,7 @@
 }
 
 fn go_dark(fleet: &Fleet) {
-    fleet.world.change("a", |server| server.dark = true);
+    fleet.world.change("a", |server| server.unresponsive = true);
 }
 
 fn leave(fleet: &Fleet) {
@@ -72,7 +72,7 @@
 
 #[rstest]
 #[case::crashed(crash)]
-#[case::dark(go_dark)]
+#[case::unresponsive(go_dark)]
 #[case::leaving(leave)]
 #[case::cut_from_all_processes(cut_from_all_processes)]
 #[case::cut_from_its_replicas(cut_from_replicas)]
@@ -91,18 +91,22 @@
     assert_ne!(leader, "a");
     assert!(fleet.world.server(&leader).log.len() >= 8);
     let mut client = fleet.session(1, LEADER_DATABASE);
-    assert_eq!(seen(&client.read("x").await).0, leader);
+    assert_eq!(read_row(&client.read("x").await).0, leader);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_replica_that_has_received_less_is_not_promoted() {
     let fleet = Fleet::start(2).await;
-    fleet.world.change("b", |server| server.deaf = true);
+    fleet
+        .world
+        .change("b", |server| server.not_receiving = true);
     write(&fleet, 5).await;
     fleet.world.crash("a");
     keep_writing(&fleet);
     until(|| !fleet.world.promotions().is_empty()).await;
-    fleet.world.change("b", |server| server.deaf = false);
+    fleet
+        .world
+        .change("b", |server| server.not_receiving = false);
     write_until_acknowledged(&fleet, 0).await;
     assert_eq!(fleet.world.leader(), "c");
 }
@@ -110,16 +114,22 @@
 #[tokio::test(start_paused = true)]
 async fn nobody_is_promoted_while_a_replica_that_may_hold_more_is_away() {
     let fleet = Fleet::start(2).await;
-    fleet.world.change("b", |server| server.deaf = true);
+    fleet
+        .world
+        .change("b", |server| server.not_receiving = true);
     write(&fleet, 5).await;
     fleet.world.crash("a");
-    fleet.world.change("c", |server| server.dark = true);
+    fleet.world.change("c", |server| server.unresponsive = true);
     keep_writing(&fleet);
     sleep(Duration::from_secs(6)).await;
     assert!(fleet.world.promotions().is_empty());
-    fleet.world.change("c", |server| server.dark = false);
+    fleet
+        .world
+        .change("c", |server| server.unresponsive = false);
     until(|| !fleet.world.promotions().is_empty()).await;
-    fleet.world.change("b", |server| server.deaf = false);
+    fleet
+        .world
+        .change("b", |server| server.not_receiving = false);
     write_until_acknowledged(&fleet, 0).await;
     assert_eq!(fleet.world.leader(), "c");
     assert!(fleet.world.server("c").log.len() >= 6);
@@ -282,13 +292,17 @@
         .nodes
         .iter()
         .for_each(|node| node.engine.close_unused_connections());
-    fleet.world.change("a", |server| server.full = true);
+    fleet
+        .world
+        .change("a", |server| server.connections_exhausted = true);
     let mut client = fleet.session(0, LEADER_DATABASE);
     for _ in 0..10 {
         let _ = client.write("x 1").await;
     }
     assert!(fleet.world.promotions().is_empty());
-    fleet.world.change("a", |server| server.full = false);
+    fleet
+        .world
+        .change("a", |server| server.connections_exhausted = false);
     write_until_acknowledged(&fleet, 0).await;
     assert_eq!(fleet.world.leader(), "a");
 }
@@ -346,13 +360,15 @@
 async fn members_that_are_away_are_known_after_all_processes_were_replaced() {
     let mut fleet = Fleet::start(2).await;
     write(&fleet, 3).await;
-    fleet.world.change("b", |server| server.deaf = true);
+    fleet
+        .world
+        .change("b", |server| server.not_receiving = true);
     write(&fleet, 3).await;
     fleet.world.crash("a");
-    fleet.world.change("c", |server| server.dark = true);
+    fleet.world.change("c", |server| server.unresponsive = true);
     fleet
         .world
-        .hidden
+        .unlisted
         .lock()
         .unwrap()
         .extend(["a".to_owned(), "c".to_owned()]);
@@ -372,8 +388,10 @@
     }
     assert!(fleet.world.promotions().is_empty());
     // The replica comes back, and holds what was acknowledged.
-    fleet.world.change("c", |server| server.dark = false);
-    fleet.world.hidden.lock().unwrap().remove("c");
+    fleet
+        .world
+        .change("c", |server| server.unresponsive = false);
+    fleet.world.unlisted.lock().unwrap().remove("c");
     until(|| !fleet.world.promotions().is_empty()).await;
     assert_eq!(&*fleet.world.promotions()[0].target, "c");
 }
@@ -414,12 +432,12 @@
     let fleet = Fleet::start(3).await;
     write(&fleet, 1).await;
     keep_writing(&fleet);
-    let hide = || fleet.world.hidden.lock().unwrap().insert("a".to_owned());
+    let hide = || fleet.world.unlisted.lock().unwrap().insert("a".to_owned());
     hide();
     sleep(Duration::from_millis(2_850)).await;
     assert_eq!(fleet.epoch(0), 0);
     if comes_back {
-        fleet.world.hidden.lock().unwrap().remove("a");
+        fleet.world.unlisted.lock().unwrap().remove("a");
         sleep(Duration::from_secs(4)).await;
         assert_eq!(fleet.epoch(0), 0);
     } else {
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -25,11 +25,11 @@
 
 async fn limited_fleet(nodes: usize) -> Fleet {
     let fleet = Fleet::start(nodes).await;
-    fleet.world.limit_slots(SLOTS, QUEUE);
+    fleet.world.set_slot_limits(SLOTS, QUEUE);
     for name in ["a", "b", "c"] {
         fleet
             .world
-            .change(name, |server| server.slowness = SLOWNESS);
+            .change(name, |server| server.slowdown = SLOWNESS);
     }
     fleet
 }
@@ -113,7 +113,7 @@
         let engines = fleet.nodes.iter().map(|node| &node.engine);
         engines.for_each(|engine| engine.close_unused_connections());
     }
-    fleet.world.change("a", |server| server.busy = true);
+    fleet.world.change("a", |server| server.queue_full = true);
     for _ in 0..10 {
         come_back(client.write("x 1").await).await;
     }
--- a/crates/engine/tests/peers.rs
+++ b/crates/engine/tests/peers.rs
@@ -16,7 +16,7 @@
     DeclaredConfiguration, DeclaredExtent, DeclaredVersions, PeerNetwork,
 };
 use support::records::Fault;
-use support::{Client, Fleet, GROUP, LEADER_DATABASE, OWN_DATABASE, seen, until};
+use support::{Client, Fleet, GROUP, LEADER_DATABASE, OWN_DATABASE, read_row, until};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep, timeout};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
@@ -48,10 +48,10 @@
     sleep(Duration::from_secs(2)).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     for _ in 0..10 {
-        assert_eq!(seen(&client.read("x").await).0, "a");
+        assert_eq!(read_row(&client.read("x").await).0, "a");
         sleep(Duration::from_millis(300)).await;
     }
-    fleet.peers.set_away(true);
+    fleet.peers.set_isolated(true);
     sleep(Duration::from_secs(1)).await;
     assert!(client.read("x").await.outcome.is_err());
 }
@@ -77,7 +77,7 @@
     };
     let written = timeout(Duration::from_secs(1), written).await;
     written.expect("a write is acknowledged");
-    assert_eq!(seen(&client.read("x").await).0, fleet.world.leader());
+    assert_eq!(read_row(&client.read("x").await).0, fleet.world.leader());
 }
 
 #[tokio::test]
--- a/crates/engine/tests/pool.rs
+++ b/crates/engine/tests/pool.rs
@@ -242,7 +242,7 @@
 async fn a_crowded_member_gets_a_connection_for_one_that_is_closed() {
     let (world, _back_end, pool) = pool(Duration::ZERO);
     pool.set_limit(10);
-    world.change("a", |server| server.accepts = Some(3));
+    world.change("a", |server| server.max_connections = Some(3));
     let acquire_request = |tenant: &str| AcquireRequest {
         tenant: Some(tenant.into()),
         ..AcquireRequest::internal()
--- a/crates/engine/tests/rate.rs
+++ b/crates/engine/tests/rate.rs
@@ -178,7 +178,7 @@
     sleep(Duration::from_secs(4)).await;
     strike(&mut fleet, &mut load, blow).await;
     sleep(Duration::from_secs(8)).await;
-    let runs = fleet.world.runs_of(TENANT);
+    let runs = fleet.world.run_times(TENANT);
     let busiest = busiest_window(&runs, BOUNDS.window);
     let most = BOUNDS.max_operations(limit);
     assert!(busiest as f64 <= most, "{busiest} of {most}");
@@ -231,7 +231,7 @@
             sleep(Duration::from_millis(3_200)).await;
             let from = Instant::now();
             sleep(Duration::from_secs(10)).await;
-            let runs = fleet.world.runs_of(TENANT);
+            let runs = fleet.world.run_times(TENANT);
             let since: Vec<Instant> = runs.into_iter().filter(|at| *at >= from).collect();
             let busiest = busiest_window(&since, BOUNDS.window);
             let most = BOUNDS.max_operations(lower);
--- a/crates/engine/tests/reads.rs
+++ b/crates/engine/tests/reads.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use stilequay_engine::verdict::{FailureReason, Verdict};
 use support::records::Fault;
-use support::{BOUNDED_DATABASE, Fleet, LEADER_DATABASE, OWN_DATABASE, STALENESS, seen};
+use support::{BOUNDED_DATABASE, Fleet, LEADER_DATABASE, OWN_DATABASE, STALENESS, read_row};
 use tokio::time::{Instant, sleep};
 
 #[tokio::test(start_paused = true)]
@@ -19,7 +19,7 @@
     let mut client = fleet.session(0, OWN_DATABASE);
     for commits in 1..=20 {
         client.write("x 1").await;
-        assert_eq!(seen(&client.read("x").await).1, commits);
+        assert_eq!(read_row(&client.read("x").await).1, commits);
     }
 }
 
@@ -36,7 +36,7 @@
     writer.write("x 1").await;
     sleep(STALENESS + Duration::from_millis(50)).await;
     for _ in 0..10 {
-        assert_eq!(seen(&reader.read("x").await), ("a".to_owned(), 1));
+        assert_eq!(read_row(&reader.read("x").await), ("a".to_owned(), 1));
     }
 }
 
@@ -44,10 +44,12 @@
 async fn a_silent_member_is_passed_over_within_the_reads_time() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, BOUNDED_DATABASE);
-    let (first, _) = seen(&client.read("x").await);
-    fleet.world.change(&first, |server| server.dark = true);
+    let (first, _) = read_row(&client.read("x").await);
+    fleet
+        .world
+        .change(&first, |server| server.unresponsive = true);
     let asked = Instant::now();
-    let (second, _) = seen(&client.read("x").await);
+    let (second, _) = read_row(&client.read("x").await);
     assert_ne!(first, second);
     assert!(asked.elapsed() < Duration::from_millis(300));
 }
@@ -56,7 +58,7 @@
 async fn a_read_whose_answer_is_broken_off_runs_at_another_member() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, BOUNDED_DATABASE);
-    let (first, _) = seen(&client.read("x").await);
+    let (first, _) = read_row(&client.read("x").await);
     fleet.world.crash(&first);
     assert!(client.read("x").await.outcome.is_ok());
 }
@@ -65,7 +67,7 @@
 async fn a_leader_read_needs_evidence_that_the_leader_still_leads() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
-    assert_eq!(seen(&client.read("x").await).0, "a");
+    assert_eq!(read_row(&client.read("x").await).0, "a");
     fleet.records.set_fault(Fault::Refusing);
     sleep(Duration::from_secs(1)).await;
     let failure = client.read("x").await.outcome.expect_err("no evidence");
@@ -73,7 +75,7 @@
     assert_eq!(failure.verdict, Verdict::NotRun);
     // A commit that a replica has received is such evidence, without the store.
     assert!(client.write("x 1").await.outcome.is_ok());
-    assert_eq!(seen(&client.read("x").await), ("a".to_owned(), 1));
+    assert_eq!(read_row(&client.read("x").await), ("a".to_owned(), 1));
     sleep(Duration::from_secs(1)).await;
     assert!(client.read("x").await.outcome.is_err());
 }
@@ -104,7 +106,7 @@
     fleet.world.crash("a");
     for _ in 0..20 {
         sleep(Duration::from_millis(300)).await;
-        assert_eq!(seen(&client.read("x").await).1, 1);
+        assert_eq!(read_row(&client.read("x").await).1, 1);
     }
 }
 
@@ -112,7 +114,9 @@
 async fn no_read_is_served_by_a_replica_that_may_lack_a_commit() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, OWN_DATABASE);
-    fleet.world.change("c", |server| server.deaf = true);
+    fleet
+        .world
+        .change("c", |server| server.not_receiving = true);
     client.write("x 1").await;
     fleet.records.set_fault(Fault::Refusing);
     fleet.world.crash("a");
@@ -128,10 +132,10 @@
     let mut client = fleet.session(0, OWN_DATABASE);
     client.write("x 1").await;
     client.begin(true).await;
-    let (server, commits) = seen(&client.read("x").await);
+    let (server, commits) = read_row(&client.read("x").await);
     assert_eq!(commits, 1);
     for _ in 0..3 {
-        assert_eq!(seen(&client.read("x").await).0, server);
+        assert_eq!(read_row(&client.read("x").await).0, server);
     }
     assert!(client.commit().await.outcome.expect("committed").is_some());
 }
--- a/crates/engine/tests/regions.rs
+++ b/crates/engine/tests/regions.rs
@@ -20,7 +20,7 @@
 use stilequay_engine::routing::MemberCost;
 use stilequay_engine::topology::{Distance, Topology};
 use stilequay_engine::verdict::Verdict;
-use support::{BOUNDED_DATABASE, Fleet, LEADER_DATABASE, seen, until};
+use support::{BOUNDED_DATABASE, Fleet, LEADER_DATABASE, read_row, until};
 use tokio::time::{Instant, sleep};
 
 /// Zones of the processes, one in each; servers stand in `zone-a`, `zone-b` and `zone-c`.
@@ -50,7 +50,7 @@
     let mut client = fleet.session(node, BOUNDED_DATABASE);
     let mut servers = BTreeSet::new();
     for _ in 0..40 {
-        servers.insert(seen(&client.read("x").await).0);
+        servers.insert(read_row(&client.read("x").await).0);
         sleep(Duration::from_millis(100)).await;
     }
     servers
@@ -66,7 +66,7 @@
     let fleet = fleet().await;
     // Slower than is assumed of members of which nothing is known, so that these look better.
     for server in ["a", "b", "c"] {
-        fleet.world.change(server, |server| server.slowness = 8);
+        fleet.world.change(server, |server| server.slowdown = 8);
     }
     let servers = readers(&fleet, node).await;
     let outside = servers
@@ -79,7 +79,7 @@
 #[tokio::test(start_paused = true)]
 async fn reads_leave_the_region_where_its_members_are_slow() {
     let fleet = fleet().await;
-    fleet.world.change("c", |server| server.slowness = 60);
+    fleet.world.change("c", |server| server.slowdown = 60);
     let servers = readers(&fleet, 3).await;
     assert!(
         servers.contains("a") || servers.contains("b"),
@@ -88,17 +88,17 @@
 }
 
 #[rstest]
-#[case::refuses(|server: &mut support::servers::Server| server.busy = true)]
-#[case::is_silent(|server: &mut support::servers::Server| server.dark = true)]
+#[case::refuses(|server: &mut support::servers::Server| server.queue_full = true)]
+#[case::is_silent(|server: &mut support::servers::Server| server.unresponsive = true)]
 #[tokio::test(start_paused = true)]
 async fn a_read_leaves_the_region_where_its_only_member(
     #[case] change: fn(&mut support::servers::Server),
 ) {
     let fleet = fleet().await;
     let mut client = fleet.session(2, BOUNDED_DATABASE);
-    assert_eq!(seen(&client.read("x").await).0, "c");
+    assert_eq!(read_row(&client.read("x").await).0, "c");
     fleet.world.change("c", change);
-    assert_ne!(seen(&client.read("x").await).0, "c");
+    assert_ne!(read_row(&client.read("x").await).0, "c");
 }
 
 /// The regions lose each other: reads go on as long as it is known what they must show, are
--- a/crates/engine/tests/residency.rs
+++ b/crates/engine/tests/residency.rs
@@ -20,7 +20,7 @@
 use support::records::Fault;
 use support::{
     BOUNDED_DATABASE, Client, Fleet, LEADER_DATABASE, Node, OWN_DATABASE, configuration, read,
-    seen, until, write,
+    read_row, until, write,
 };
 use tokio::time::{Instant, sleep};
 
@@ -107,7 +107,7 @@
     });
     let tenants = tenants.filter(|_| !next.tenants.is_empty());
     let fleet = Fleet::start_in_regions(zones, nodes, tenants, regions).await;
-    fleet.peers.keeps_frames.store(true, Ordering::Relaxed);
+    fleet.peers.records_frames.store(true, Ordering::Relaxed);
     until(|| {
         fleet.nodes.iter().all(|node| {
             let homes = node.engine.homes();
@@ -159,7 +159,7 @@
     for (node, id) in asked {
         let servers = fleet.world.servers_reached(id).into_iter();
         found.extend(servers.filter(|server| !NORTHERN.contains(&server.as_str())));
-        let processes = fleet.peers.processes_passed(id).into_iter();
+        let processes = fleet.peers.processes_reached(id).into_iter();
         let processes = processes.filter(|process| *process != fleet.nodes[*node].name);
         found.extend(processes.filter(|process| !is_northern(&zone_of(process))));
     }
@@ -208,7 +208,7 @@
             client.begin(false).await;
             let statements = [write("x 1"), read("x"), Statement::Commit, write("x 2")];
             for statement in statements.into_iter().chain([read("x"), read("x")]) {
-                let (id, reply) = client.ask_as(statement).await;
+                let (id, reply) = client.send_with_id(statement).await;
                 assert!(reply.outcome.is_ok(), "{reply:?}");
                 assert!(!fleet.world.servers_reached(&id).is_empty());
                 ids.push((node, id));
@@ -223,7 +223,7 @@
     let fleet = fleet_of(4, all_in(2, SOUTH)).await;
     for node in 0..4 {
         let mut client = fleet.session(node, BOUNDED_DATABASE);
-        assert_eq!(seen(&client.read("x").await).0, "c");
+        assert_eq!(read_row(&client.read("x").await).0, "c");
     }
 }
 
@@ -240,11 +240,11 @@
     let fleet = fleet_of(4, all_in(2, SOUTH)).await;
     let mut client = fleet.session(0, database);
     let asked = Instant::now();
-    let (id, reply) = client.ask_as(statement.clone()).await;
+    let (id, reply) = client.send_with_id(statement.clone()).await;
     assert_eq!(reason(&reply), Some(FailureReason::OutsideHomeRegions));
     assert!(asked.elapsed() < Duration::from_millis(1));
     client.begin(false).await;
-    let (in_transaction, reply) = client.ask_as(statement).await;
+    let (in_transaction, reply) = client.send_with_id(statement).await;
     assert_eq!(reason(&reply), Some(FailureReason::OutsideHomeRegions));
     for id in [id, in_transaction] {
         assert!(fleet.world.servers_reached(&id).is_empty());
@@ -287,7 +287,7 @@
     let fleet = fleet_of(4, next).await;
     for node in &fleet.nodes {
         let mut client = Client::open_with(&node.engine, BOUNDED_DATABASE, Some(credential));
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         let servers = fleet.world.servers_reached(&id);
         match allowed {
             Some(allowed) => {
@@ -321,7 +321,7 @@
     let mut ids = Vec::new();
     let mut completed = 0;
     for _ in 0..20 {
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         completed += usize::from(reply.outcome.is_ok());
         ids.push((node, id));
     }
@@ -354,9 +354,9 @@
         engine.set_directory(Directory::default());
     }
     let mut client = fleet.session(node, LEADER_DATABASE);
-    let (id, reply) = client.ask_as(read("x")).await;
+    let (id, reply) = client.send_with_id(read("x")).await;
     assert!(reply.outcome.is_ok() || reason(&reply).is_some());
-    let asked = fleet.peers.processes_passed(&id);
+    let asked = fleet.peers.processes_reached(&id);
     // One may have been passed over before, for a question of the process itself.
     assert!(asked.len() > 1, "{asked:?}");
     assert_eq!(outside(&fleet, &[(node, id)]), Vec::<String>::new());
@@ -368,11 +368,11 @@
     let fleet = fleet_of(LARGE, all_in(2, SOUTH)).await;
     let node = southern_bystander(&fleet);
     let mut client = fleet.session(node, BOUNDED_DATABASE);
-    assert_eq!(seen(&client.read("x").await).0, "c");
+    assert_eq!(read_row(&client.read("x").await).0, "c");
     declare(&fleet, all_in(3, NORTH)).await;
     let mut ids = Vec::new();
     for _ in 0..5 {
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         assert!(reply.outcome.is_ok(), "{reply:?}");
         ids.push((node, id));
     }
@@ -397,7 +397,7 @@
     declare(&fleet, all_in(3, SOUTH)).await;
     // It is not sent where the transaction is still open.
     client.set("region", "south").await;
-    let (id, reply) = client.ask_as(next).await;
+    let (id, reply) = client.send_with_id(next).await;
     assert_eq!(reason(&reply), Some(FailureReason::OutsideHomeRegions));
     assert!(fleet.world.servers_reached(&id).is_empty());
     if client.session.state() != TransactionState::Idle {
@@ -405,7 +405,7 @@
     }
     assert_eq!(client.session.state(), TransactionState::Idle);
     declare(&fleet, all_in(4, BOTH)).await;
-    let (_, commits) = seen(&client.read("x").await);
+    let (_, commits) = read_row(&client.read("x").await);
     assert_eq!(commits, 0, "the write was rolled back");
 }
 
@@ -446,7 +446,7 @@
     let node = 0;
     let open = fill(&fleet, node).await;
     let mut client = fleet.session(node, BOUNDED_DATABASE);
-    let waiting = tokio::spawn(async move { client.ask_as(read("x")).await });
+    let waiting = tokio::spawn(async move { client.send_with_id(read("x")).await });
     sleep(Duration::from_millis(40)).await;
     assert!(!waiting.is_finished());
     declare(&fleet, all_in(3, NORTH)).await;
@@ -474,7 +474,7 @@
     let mut ids = Vec::new();
     for node in 0..LARGE {
         let mut client = fleet.session(node, BOUNDED_DATABASE);
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         assert!(reply.outcome.is_ok(), "{reply:?}");
         ids.push((node, id));
     }
@@ -489,7 +489,7 @@
     let mut ids = Vec::new();
     for node in southern(&fleet) {
         let mut client = fleet.session(node, BOUNDED_DATABASE);
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         assert!(reply.outcome.is_ok(), "{reply:?}");
         ids.push((node, id));
     }
@@ -509,7 +509,7 @@
     let mut client = fleet.session(node, BOUNDED_DATABASE);
     let mut ids = Vec::new();
     for _ in 0..10 {
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         assert!(reply.outcome.is_ok() || reason(&reply).is_some());
         ids.push((node, id));
     }
@@ -532,9 +532,9 @@
     for round in 0..60 {
         let server = NORTHERN[rng.random_range(0..NORTHERN.len())];
         match rng.random_range(0..4) {
-            0 => fleet.world.change(server, |s| s.dark = true),
-            1 => fleet.world.change(server, |s| s.busy = true),
-            2 => fleet.world.change(server, |s| s.slowness = 30),
+            0 => fleet.world.change(server, |s| s.unresponsive = true),
+            1 => fleet.world.change(server, |s| s.queue_full = true),
+            2 => fleet.world.change(server, |s| s.slowdown = 30),
             _ => {}
         }
         if kills && round % 20 == 10 {
@@ -551,15 +551,15 @@
             client.begin(rng.random_bool(0.5)).await;
         }
         for statement in [write("x 1"), read("x"), read("x"), Statement::Commit] {
-            let (id, reply) = client.ask_as(statement).await;
+            let (id, reply) = client.send_with_id(statement).await;
             served += usize::from(reply.outcome.is_ok());
             ids.push((node, id));
         }
         for server in NORTHERN {
             fleet.world.change(server, |s| {
-                s.dark = false;
-                s.busy = false;
-                s.slowness = 1;
+                s.unresponsive = false;
+                s.queue_full = false;
+                s.slowdown = 1;
             });
         }
     }
@@ -611,11 +611,11 @@
         for server in NORTHERN {
             fleet.world.change(server, |server| match trouble {
                 Trouble::Nothing => {}
-                Trouble::Silence => server.dark = true,
-                Trouble::Refusals => server.busy = true,
+                Trouble::Silence => server.unresponsive = true,
+                Trouble::Refusals => server.queue_full = true,
             });
         }
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         let outside = outside(&fleet, &[(node, id)]);
         assert_eq!(!outside.is_empty(), is_planted, "{trouble:?}: {reply:?}");
     }
@@ -645,7 +645,7 @@
         let mut ids = Vec::new();
         for _ in 0..10 {
             let mut client = fleet.session(node, BOUNDED_DATABASE);
-            ids.push((node, client.ask_as(read("x")).await.0));
+            ids.push((node, client.send_with_id(read("x")).await.0));
         }
         assert_eq!(!outside(&fleet, &ids).is_empty(), is_planted);
     }
--- a/crates/engine/tests/restored_store.rs
+++ b/crates/engine/tests/restored_store.rs
@@ -55,10 +55,10 @@
 async fn a_promotion_that_the_store_has_lost_is_recorded_again() {
     let fleet = Fleet::start(3).await;
     write(&fleet).await;
-    let copy = fleet.records.copy();
+    let backup = fleet.records.back_up();
     change_leader(&fleet).await;
     let promoted = stored_term(&fleet).expect("a record");
-    fleet.records.restore(copy);
+    fleet.records.restore(backup);
     assert_eq!(stored_term(&fleet), None);
     let began = Instant::now();
     until(|| stored_term(&fleet).as_ref() == Some(&promoted)).await;
@@ -75,11 +75,11 @@
     let fleet = Fleet::start(3).await;
     write(&fleet).await;
     change_leader(&fleet).await;
-    let copy = fleet.records.copy();
+    let backup = fleet.records.back_up();
     change_leader(&fleet).await;
     let promoted = stored_term(&fleet).expect("a record");
     let known = fleet.epoch(1);
-    fleet.records.restore(copy);
+    fleet.records.restore(backup);
     until(|| stored_term(&fleet).as_ref() == Some(&promoted)).await;
     assert!(fleet.epoch(1) >= known);
 }
@@ -90,10 +90,10 @@
     write(&fleet).await;
     let mut epochs = Vec::new();
     for _ in 0..3 {
-        let copy = fleet.records.copy();
+        let backup = fleet.records.back_up();
         change_leader(&fleet).await;
         epochs.push(stored_term(&fleet).expect("a record").epoch);
-        fleet.records.restore(copy);
+        fleet.records.restore(backup);
         sleep(WRITTEN_AGAIN_WITHIN).await;
     }
     change_leader(&fleet).await;
@@ -113,11 +113,11 @@
 #[tokio::test(start_paused = true)]
 async fn processes_whose_records_are_lost_write_them_again() {
     let fleet = Fleet::start(3).await;
-    let copy = fleet.records.copy();
+    let backup = fleet.records.back_up();
     let late = fleet.spawn_node("node-9");
     until(|| fleet.records.get("node/node-9").is_some()).await;
     until(|| fleet.nodes[0].engine.processes() == 4).await;
-    fleet.records.restore(copy);
+    fleet.records.restore(backup);
     let began = Instant::now();
     until(|| fleet.records.get("node/node-9").is_some()).await;
     assert!(
@@ -133,11 +133,11 @@
 async fn a_large_fleet_hears_of_what_was_lost() {
     let fleet = Fleet::start(20).await;
     write(&fleet).await;
-    let copy = fleet.records.copy();
+    let backup = fleet.records.back_up();
     change_leader(&fleet).await;
     let promoted = stored_term(&fleet).expect("a record");
     until(|| (0..20).all(|node| fleet.epoch(node) == promoted.epoch)).await;
-    fleet.records.restore(copy);
+    fleet.records.restore(backup);
     until(|| stored_term(&fleet).as_ref() == Some(&promoted)).await;
     sleep(WRITTEN_AGAIN_WITHIN).await;
     let versions = (0..20).map(|node| fleet.nodes[node].engine.terms().version());
--- a/crates/engine/tests/rosters.rs
+++ b/crates/engine/tests/rosters.rs
@@ -18,7 +18,7 @@
 const RECORDED_WITHIN: Duration = Duration::from_secs(5);
 
 async fn configure(fleet: &Fleet) {
-    *fleet.world.further.lock().unwrap() = members_of_groups(GROUPS).collect();
+    *fleet.world.other_members.lock().unwrap() = members_of_groups(GROUPS).collect();
     fleet.configuration.send_replace(with_groups(2, GROUPS));
     sleep(RECORDED_WITHIN).await;
 }
@@ -44,7 +44,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_conflict_about_one_group_leaves_the_others_recorded() {
     let fleet = Fleet::start(1).await;
-    fleet.records.put_unseen(&Roster::key(&group_name(7)));
+    fleet
+        .records
+        .put_without_notification(&Roster::key(&group_name(7)));
     configure(&fleet).await;
     assert_eq!(recorded(&fleet), GROUPS);
     let group = Arc::from(group_name(7));
--- a/crates/engine/tests/server_lives.rs
+++ b/crates/engine/tests/server_lives.rs
@@ -11,7 +11,7 @@
 };
 use support::history::History;
 use support::servers::World;
-use support::{Fleet, GROUP, LEADER_DATABASE, seen, until};
+use support::{Fleet, GROUP, LEADER_DATABASE, read_row, until};
 use tokio::time::{Instant, sleep};
 
 #[rstest]
@@ -19,8 +19,12 @@
 #[case::without("s-1", None, "s-1")]
 #[case::like_one_with_a_start("s-1@17", None, "s-1@17@")]
 #[case::like_one_and_with_a_start("s-1@17", Some(4), "s-1@17@4")]
-fn a_life_names_its_server(#[case] server: &str, #[case] born: Option<u64>, #[case] life: &str) {
-    assert_eq!(&*incarnation_id(server, born), life);
+fn a_life_names_its_server(
+    #[case] server: &str,
+    #[case] started_at: Option<u64>,
+    #[case] life: &str,
+) {
+    assert_eq!(&*incarnation_id(server, started_at), life);
     assert_eq!(server_name(life), server);
 }
 
@@ -40,10 +44,10 @@
 #[test]
 fn a_life_ends_when_the_next_one_is_told() {
     let world = World::new(&["a", "b"]);
-    world.change("a", |server| server.born = Some(1));
+    world.change("a", |server| server.started_at = Some(1));
     let before = known(&world);
     let first = before.member("a@1").expect("a member").clone();
-    world.start_anew("a");
+    world.start_empty("a");
     world.change("a", |server| server.role = Role::Primary);
     let members = world.entries().into_iter();
     let next = members.map(DirectoryChange::Present);
@@ -66,7 +70,9 @@
 async fn play(processes: usize, fault: impl AsyncFn(&Fleet)) {
     let fleet = Fleet::start(processes).await;
     for name in ["a", "b", "c"] {
-        fleet.world.change(name, |server| server.born = Some(1));
+        fleet
+            .world
+            .change(name, |server| server.started_at = Some(1));
     }
     sleep(Duration::from_millis(500)).await;
     let history = Arc::new(History::default());
@@ -81,10 +87,10 @@
 }
 
 /// Crashes `server` and starts it again after `down`, with nothing of before.
-async fn start_anew(fleet: &Fleet, server: &str, down: Duration) {
+async fn start_empty(fleet: &Fleet, server: &str, down: Duration) {
     fleet.world.crash(server);
     sleep(down).await;
-    fleet.world.start_anew(server);
+    fleet.world.start_empty(server);
 }
 
 #[rstest]
@@ -96,13 +102,13 @@
     #[case] down: Duration,
     #[values(3, 20)] processes: usize,
 ) {
-    play(processes, async |fleet| start_anew(fleet, "a", down).await).await;
+    play(processes, async |fleet| start_empty(fleet, "a", down).await).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_replica_that_starts_again_empty_is_not_promoted() {
     play(3, async |fleet| {
-        start_anew(fleet, "b", Duration::from_millis(200)).await;
+        start_empty(fleet, "b", Duration::from_millis(200)).await;
         fleet.world.crash("a");
         sleep(Duration::from_secs(3)).await;
         fleet.world.restart("a");
@@ -113,8 +119,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_server_that_starts_again_twice_is_its_last_life() {
     play(3, async |fleet| {
-        start_anew(fleet, "a", Duration::from_millis(15)).await;
-        start_anew(fleet, "a", Duration::from_millis(15)).await;
+        start_empty(fleet, "a", Duration::from_millis(15)).await;
+        start_empty(fleet, "a", Duration::from_millis(15)).await;
     })
     .await;
 }
@@ -125,7 +131,7 @@
         for node in &fleet.nodes {
             fleet.network().cut(&node.name, "a");
         }
-        start_anew(fleet, "a", Duration::from_secs(1)).await;
+        start_empty(fleet, "a", Duration::from_secs(1)).await;
         sleep(Duration::from_secs(2)).await;
         fleet.network().heal();
     })
@@ -137,30 +143,34 @@
 async fn no_transaction_reads_from_a_leader_that_has_started_again() {
     let fleet = Fleet::start(1).await;
     for name in ["a", "b", "c"] {
-        fleet.world.change(name, |server| server.born = Some(1));
+        fleet
+            .world
+            .change(name, |server| server.started_at = Some(1));
     }
     sleep(Duration::from_millis(500)).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     client
         .write_until_acknowledged(Duration::from_secs(5))
         .await;
-    fleet.world.start_anew("a");
+    fleet.world.start_empty("a");
     client.begin(true).await;
     let reply = client.read("x").await;
-    let is_whole = reply.outcome.is_err() || seen(&reply).1 > 0;
-    assert!(is_whole, "{:?}", seen(&reply));
+    let is_whole = reply.outcome.is_err() || read_row(&reply).1 > 0;
+    assert!(is_whole, "{:?}", read_row(&reply));
 }
 
 /// Whoever connects to a life that has ended would reach the next one.
 #[tokio::test(start_paused = true)]
 async fn no_connection_is_opened_to_a_life_that_has_ended() {
     let fleet = Fleet::start(1).await;
-    fleet.world.change("b", |server| server.born = Some(1));
+    fleet
+        .world
+        .change("b", |server| server.started_at = Some(1));
     let engine = &fleet.nodes[0].engine;
     until(|| engine.directory().member("b@1").is_some()).await;
     let life = Arc::clone(engine.directory().member("b@1").expect("a member"));
     let pool = engine.pool(&life);
-    fleet.world.start_anew("b");
+    fleet.world.start_empty("b");
     until(|| engine.directory().has_restarted(&life)).await;
     let order = pool.control(stilequay_engine::ports::Control::Status).await;
     assert!(order.is_err(), "{order:?}");
--- a/crates/engine/tests/sessions.rs
+++ b/crates/engine/tests/sessions.rs
@@ -7,7 +7,7 @@
 use stilequay_engine::session::Session;
 use stilequay_engine::statement::{Access, TransactionState};
 use stilequay_engine::verdict::{FailureReason, Verdict};
-use support::{Fleet, LEADER_DATABASE, OWN_DATABASE, bytes, seen};
+use support::{Fleet, LEADER_DATABASE, OWN_DATABASE, bytes, read_row};
 use tokio::time::sleep;
 
 #[tokio::test(start_paused = true)]
@@ -36,7 +36,7 @@
     writer.prepare("s1", Access::Write, "q").await;
     for round in 1..=3 {
         assert!(writer.execute("s1", "k v").await.outcome.is_ok());
-        let (server, commits) = seen(&reader.execute("s1", "k").await);
+        let (server, commits) = read_row(&reader.execute("s1", "k").await);
         assert_eq!((server.as_str(), commits), ("a", round));
     }
 }
@@ -73,7 +73,7 @@
     client.write("x 1").await;
     assert!(client.rollback().await.outcome.is_ok());
     assert!(fleet.world.server("a").log.is_empty());
-    assert_eq!(seen(&client.read("x").await).1, 0);
+    assert_eq!(read_row(&client.read("x").await).1, 0);
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/engine/tests/simulation.rs
+++ b/crates/engine/tests/simulation.rs
@@ -49,9 +49,9 @@
             world.restart(&leader);
         }
         2 => {
-            world.change(server, |s| s.dark = true);
+            world.change(server, |s| s.unresponsive = true);
             sleep(lasts).await;
-            world.change(server, |s| s.dark = false);
+            world.change(server, |s| s.unresponsive = false);
         }
         3 => {
             fleet.network().cut(&node, server);
@@ -70,9 +70,9 @@
             sleep(lasts).await;
         }
         6 => {
-            world.change(server, |s| s.deaf = true);
+            world.change(server, |s| s.not_receiving = true);
             sleep(lasts).await;
-            world.change(server, |s| s.deaf = false);
+            world.change(server, |s| s.not_receiving = false);
         }
         7 => {
             let faults = [Fault::Refusing, Fault::Silent, Fault::LosingAnswers];
@@ -95,10 +95,10 @@
         10 => {
             world.change(server, |s| {
                 s.apply_lag = Duration::from_millis(rng.random_range(0..2_000));
-                s.slowness = rng.random_range(1..20);
+                s.slowdown = rng.random_range(1..20);
             });
             sleep(lasts).await;
-            world.change(server, |s| s.slowness = 1);
+            world.change(server, |s| s.slowdown = 1);
         }
         11 => {
             let other = rng.random_range(0..fleet.nodes.len());
@@ -119,13 +119,13 @@
 
 /// Starts a server again with nothing, at a moment at which another holds what it does; without
 /// one the commits would be lost whatever is done.
-async fn start_anew(fleet: &Fleet, server: &str) {
+async fn start_empty(fleet: &Fleet, server: &str) {
     let held = |name: &str| fleet.world.server(name).position();
     let until = Instant::now() + COPY_PATIENCE;
     while Instant::now() < until {
         let mut others = SERVERS.iter().filter(|other| **other != server);
         if others.any(|other| held(other) >= held(server)) {
-            fleet.world.start_anew(server);
+            fleet.world.start_empty(server);
             return;
         }
         sleep(Duration::from_millis(1)).await;
@@ -136,13 +136,13 @@
 /// fault, or one of the faults of [`strike`].
 async fn strike_memory(fleet: &Fleet, rng: &mut StdRng) {
     match rng.random_range(0..3) {
-        0 => start_anew(fleet, SERVERS[rng.random_range(0..SERVERS.len())]).await,
+        0 => start_empty(fleet, SERVERS[rng.random_range(0..SERVERS.len())]).await,
         1 => {
-            let copy = fleet.records.copy();
+            let backup = fleet.records.back_up();
             strike(fleet, rng).await;
             fleet.records.set_fault(Fault::Silent);
             sleep(Duration::from_millis(rng.random_range(50..400))).await;
-            fleet.records.restore(copy);
+            fleet.records.restore(backup);
             fleet.records.set_fault(Fault::None);
         }
         _ => strike(fleet, rng).await,
@@ -219,7 +219,7 @@
 ) {
     let fleet = Fleet::start(3).await;
     for server in SERVERS {
-        fleet.world.change(server, |s| s.born = Some(1));
+        fleet.world.change(server, |s| s.started_at = Some(1));
     }
     let (violations, (commits, reads)) = play(seed, fleet, strike_memory).await;
     assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
@@ -257,11 +257,13 @@
     // All but the holder believe the store of a moment ago, and stay with the old leader.
     let names = fleet.nodes.iter().map(|node| &node.name);
     let others = names.filter(|name| **name != holder.as_str());
-    others.for_each(|name| fleet.records.show_past_to(name));
+    others.for_each(|name| fleet.records.serve_stale_data_to(name));
     // Nor do they learn of the change from the holder, which may be one that others ask.
-    fleet.peers.lose_knowledge_of(holder.as_str());
+    fleet.peers.drop_updates_from(holder.as_str());
     fleet.network().cut(holder.as_str(), "a");
-    fleet.world.change("a", |server| server.deaf = true);
+    fleet
+        .world
+        .change("a", |server| server.not_receiving = true);
     ["b", "c"]
         .iter()
         .for_each(|replica| fleet.network().cut("a", replica));
@@ -292,7 +294,7 @@
     let keeper = cut_all_but_one(fleet);
     fleet.records.refuse_node(&keeper, true);
     // Nor does it learn of the change from the others.
-    fleet.peers.set_away(true);
+    fleet.peers.set_isolated(true);
     until(|| !fleet.world.promotions().is_empty()).await;
     sleep(Duration::from_secs(2)).await;
 }
@@ -324,16 +326,16 @@
 async fn a_replica_that_nobody_knows_is_waited_for() {
     let fleet = Fleet::start(3).await;
     let history = Arc::new(History::default());
-    fleet.world.change("b", |s| s.deaf = true);
+    fleet.world.change("b", |s| s.not_receiving = true);
     fleet.spawn_callers(&history);
     sleep(Duration::from_secs(2)).await;
-    fleet.world.hidden.lock().unwrap().insert("c".to_owned());
+    fleet.world.unlisted.lock().unwrap().insert("c".to_owned());
     // The entry is forgotten, as one that went away long ago is.
     sleep(GONE_RETENTION + Duration::from_secs(10)).await;
     fleet.world.crash("a");
     sleep(Duration::from_secs(10)).await;
     assert!(fleet.world.promotions().is_empty());
-    fleet.world.hidden.lock().unwrap().clear();
+    fleet.world.unlisted.lock().unwrap().clear();
     until(|| !fleet.world.promotions().is_empty()).await;
     sleep(Duration::from_secs(2)).await;
     assert_eq!(&*fleet.world.promotions()[0].target, "c");
@@ -347,7 +349,7 @@
     fleet.spawn_callers(&history);
     sleep(Duration::from_secs(2)).await;
     let keeper = cut_all_but_one(&fleet);
-    fleet.records.show_past_to(&keeper);
+    fleet.records.serve_stale_data_to(&keeper);
     until(|| !fleet.world.promotions().is_empty()).await;
     sleep(Duration::from_secs(4)).await;
     let violations = history.violations(&fleet.world);
@@ -364,7 +366,7 @@
     let history = Arc::new(History::default());
     fleet.spawn_callers(&history);
     let holder = fleet.lease().holder;
-    fleet.records.pretend_renewals_to(holder.as_str());
+    fleet.records.fake_renewals_for(holder.as_str());
     // Another process takes the lease that is not renewed.
     sleep(Duration::from_secs(4)).await;
     let mut fallen = Vec::new();
--- a/crates/engine/tests/slow_start.rs
+++ b/crates/engine/tests/slow_start.rs
@@ -20,7 +20,7 @@
 use support::records::Fault;
 use support::servers::World;
 use support::{
-    BOUNDED_DATABASE, Client, Fleet, GROUP, LEADER_DATABASE, configuration, seen, until,
+    BOUNDED_DATABASE, Client, Fleet, GROUP, LEADER_DATABASE, configuration, read_row, until,
 };
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
@@ -96,7 +96,7 @@
 /// Makes the other servers so slow that reads prefer `member`.
 fn slow_others(fleet: &Fleet, member: &str) {
     for other in ["a", "b", "c"].into_iter().filter(|name| *name != member) {
-        fleet.world.change(other, |server| server.slowness = 12);
+        fleet.world.change(other, |server| server.slowdown = 12);
     }
 }
 
@@ -601,7 +601,7 @@
     assert!(starts.into_iter().all(|used| !used));
     assert_eq!(shares(&fleet, "b"), None);
     let mut client = fleet.session(0, BOUNDED_DATABASE);
-    let (server, _) = seen(&client.read("x").await);
+    let (server, _) = read_row(&client.read("x").await);
     assert!(["a", "b", "c"].contains(&server.as_str()));
 }
 
--- a/crates/engine/tests/support/freezer.rs
+++ b/crates/engine/tests/support/freezer.rs
@@ -38,7 +38,7 @@
     }
 
     /// Returns while `node` goes on.
-    pub async fn pass(&self, node: &str) {
+    pub async fn wait_until_resumed(&self, node: &str) {
         let mut changes = self.changes.subscribe();
         while self.is_frozen(node) {
             if changes.changed().await.is_err() {
--- a/crates/engine/tests/support/groups.rs
+++ b/crates/engine/tests/support/groups.rs
@@ -17,8 +17,8 @@
 
 fn members(index: usize) -> impl Iterator<Item = Member> {
     let roles = [Role::Primary, Role::Replica, Role::Replica];
-    roles.into_iter().enumerate().map(move |(place, role)| {
-        let number = u16::try_from(3 * index + place).expect("few members");
+    roles.into_iter().enumerate().map(move |(offset, role)| {
+        let number = u16::try_from(3 * index + offset).expect("few members");
         Member {
             id: Arc::from(format!("member-{number}")),
             group: Arc::from(group_name(index)),
--- a/crates/engine/tests/support/history.rs
+++ b/crates/engine/tests/support/history.rs
@@ -14,7 +14,7 @@
 
 /// An acknowledged commit.
 #[derive(Debug, Clone)]
-struct Acknowledged {
+struct AcknowledgedCommit {
     id: String,
     at: Instant,
     session: usize,
@@ -22,20 +22,20 @@
 
 /// A read that was answered.
 #[derive(Debug, Clone)]
-struct Answered {
+struct AnsweredRead {
     id: String,
-    asked: Instant,
+    requested_at: Instant,
     session: usize,
     staleness: Option<Duration>,
     /// Whether it must see its session's commits.
-    own: bool,
+    reads_own_writes: bool,
 }
 
 /// Everything that callers saw.
 #[derive(Debug, Default)]
 pub struct History {
-    commits: Mutex<Vec<Acknowledged>>,
-    reads: Mutex<Vec<Answered>>,
+    commits: Mutex<Vec<AcknowledgedCommit>>,
+    reads: Mutex<Vec<AnsweredRead>>,
 }
 
 impl History {
@@ -45,20 +45,22 @@
         let history = Arc::clone(self);
         let engine = Arc::clone(engine);
         let staleness = (database != LEADER_DATABASE).then_some(STALENESS);
-        let own = database != BOUNDED_DATABASE;
+        let reads_own_writes = database != BOUNDED_DATABASE;
         let database = database.to_owned();
         tokio::spawn(async move {
             let mut client = Client::open(&engine, &database);
             loop {
-                let (id, reply) = client.ask_as(write("x")).await;
+                let (id, reply) = client.send_with_id(write("x")).await;
                 if reply.outcome.is_ok() {
-                    history.commits.lock().unwrap().push(Acknowledged {
+                    history.commits.lock().unwrap().push(AcknowledgedCommit {
                         id,
                         at: Instant::now(),
                         session,
                     });
                 }
-                history.read(&mut client, staleness, own, session).await;
+                history
+                    .read(&mut client, staleness, reads_own_writes, session)
+                    .await;
                 sleep(CALLER_PAUSE).await;
             }
         });
@@ -82,18 +84,18 @@
         &self,
         client: &mut Client,
         staleness: Option<Duration>,
-        own: bool,
+        reads_own_writes: bool,
         session: usize,
     ) {
-        let asked = Instant::now();
-        let (id, reply) = client.ask_as(read("x")).await;
+        let requested_at = Instant::now();
+        let (id, reply) = client.send_with_id(read("x")).await;
         if reply.outcome.is_ok() {
-            self.reads.lock().unwrap().push(Answered {
+            self.reads.lock().unwrap().push(AnsweredRead {
                 id,
-                asked,
+                requested_at,
                 session,
                 staleness,
-                own,
+                reads_own_writes,
             });
         }
     }
@@ -108,31 +110,33 @@
     pub fn violations(&self, world: &World) -> Vec<String> {
         let leader = world.server(&world.leader());
         let ids = leader.log.iter().map(|entry| &entry.1);
-        let kept: HashMap<&String, usize> = ids.enumerate().map(|(at, id)| (id, at)).collect();
+        let indices: HashMap<&String, usize> = ids.enumerate().map(|(at, id)| (id, at)).collect();
         let mut commits = self.commits.lock().unwrap().clone();
         commits.sort_by_key(|commit| commit.at);
         let lost = commits
             .iter()
-            .filter(|commit| !kept.contains_key(&commit.id));
+            .filter(|commit| !indices.contains_key(&commit.id));
         let mut violations: Vec<String> =
             lost.map(|commit| format!("lost: {}", commit.id)).collect();
-        if kept.len() != leader.log.len() {
+        if indices.len() != leader.log.len() {
             violations.push("a write took effect twice".to_owned());
         }
         let positions: Vec<(Instant, usize, usize)> = commits
             .iter()
-            .filter_map(|commit| Some((commit.at, commit.session, *kept.get(&commit.id)?)))
+            .filter_map(|commit| Some((commit.at, commit.session, *indices.get(&commit.id)?)))
             .collect();
         for answered in self.reads.lock().unwrap().iter() {
-            let covered = covered(&world.log_read_by(&answered.id), &kept);
-            let missing = positions.iter().filter(|(_, _, at)| *at >= covered);
+            let entries_seen = entries_seen(&world.log_read_by(&answered.id), &indices);
+            let missing = positions.iter().filter(|(_, _, at)| *at >= entries_seen);
             let mut missing = missing.filter(|(at, session, _)| {
                 let bound = answered
-                    .asked
+                    .requested_at
                     .checked_sub(answered.staleness.unwrap_or_default());
                 let old_enough = bound.is_some_and(|bound| *at < bound);
-                let own = answered.own && *session == answered.session && *at < answered.asked;
-                old_enough || own
+                let reads_own_writes = answered.reads_own_writes
+                    && *session == answered.session
+                    && *at < answered.requested_at;
+                old_enough || reads_own_writes
             });
             if missing.next().is_some() {
                 violations.push(format!("stale: {answered:?}"));
@@ -143,7 +147,7 @@
 }
 
 /// How many entries of the log that was kept a read has seen.
-fn covered(read: &ReadLog, kept: &HashMap<&String, usize>) -> usize {
-    let last = read.tail.iter().rev().find_map(|id| kept.get(id));
+fn entries_seen(read: &ReadLog, indices: &HashMap<&String, usize>) -> usize {
+    let last = read.tail.iter().rev().find_map(|id| indices.get(id));
     last.map_or(0, |at| at + 1)
 }
--- a/crates/engine/tests/support/mod.rs
+++ b/crates/engine/tests/support/mod.rs
@@ -142,16 +142,16 @@
         nodes: usize,
         tenants: Option<TenantPolicy>,
     ) -> Self {
-        Self::start_bound(zones, nodes, tenants, None, |_| HashMap::new()).await
+        Self::start_with_options(zones, nodes, tenants, None, |_| HashMap::new()).await
     }
 
     /// The same, where zones are evacuated within `bound`.
-    pub async fn start_evacuated_within(
+    pub async fn start_with_evacuation_bound(
         bound: Duration,
         zones: &'static [&'static str],
         nodes: usize,
     ) -> Self {
-        Self::start_bound(zones, nodes, None, Some(bound), |_| HashMap::new()).await
+        Self::start_with_options(zones, nodes, None, Some(bound), |_| HashMap::new()).await
     }
 
     /// The same, where each process is told the regions of zones.
@@ -161,18 +161,18 @@
         tenants: Option<TenantPolicy>,
         regions: fn(&str) -> HashMap<ZoneName, RegionName>,
     ) -> Self {
-        Self::start_bound(zones, nodes, tenants, None, regions).await
+        Self::start_with_options(zones, nodes, tenants, None, regions).await
     }
 
     /// The same, with all of these.
-    pub async fn start_bound(
+    pub async fn start_with_options(
         zones: &'static [&'static str],
         nodes: usize,
         tenants: Option<TenantPolicy>,
         evacuation_bound: Option<Duration>,
         regions: fn(&str) -> HashMap<ZoneName, RegionName>,
     ) -> Self {
-        print_events_if_asked();
+        print_events_if_enabled();
         let world = World::new(&["a", "b", "c"]);
         let records = MemoryRecords::new();
         let mut fleet = Self {
@@ -198,11 +198,11 @@
         until(|| fleet.records.get("lease/promotion").is_some()).await;
         // The program serves nobody before it has learned the configuration from the store or
         // from another process; here it is set beforehand.
-        let is_proven = |node: &Node| {
+        let has_proof = |node: &Node| {
             let proof = node.engine.following().configuration_complete_as_of();
             proof.is_some()
         };
-        until(|| fleet.nodes.iter().all(is_proven)).await;
+        until(|| fleet.nodes.iter().all(has_proof)).await;
         fleet
     }
 
@@ -258,7 +258,7 @@
                 Arc::clone(&engine),
                 Arc::clone(&self.world),
                 Arc::clone(&self.records),
-                Operator {
+                OperatorInput {
                     configuration: self.configuration.subscribe(),
                     evacuations: self.evacuations.subscribe(),
                 },
@@ -339,7 +339,7 @@
 }
 
 /// What the operator has written.
-struct Operator {
+struct OperatorInput {
     configuration: watch::Receiver<Configuration>,
     evacuations: watch::Receiver<Evacuations>,
 }
@@ -349,7 +349,7 @@
     engine: Arc<Engine>,
     world: Arc<World>,
     records: Arc<MemoryRecords>,
-    operator: Operator,
+    operator: OperatorInput,
 ) {
     let mut version = 1;
     loop {
@@ -411,12 +411,12 @@
         }
     }
 
-    pub async fn ask(&mut self, statement: Statement) -> Reply {
-        self.ask_as(statement).await.1
+    pub async fn send(&mut self, statement: Statement) -> Reply {
+        self.send_with_id(statement).await.1
     }
 
     /// Asks, and tells the request's id too.
-    pub async fn ask_as(&mut self, statement: Statement) -> (String, Reply) {
+    pub async fn send_with_id(&mut self, statement: Statement) -> (String, Reply) {
         self.next += 1;
         let id = format!("{:08x}-{}", rand::random::<u32>(), self.next);
         let request = Request {
@@ -427,12 +427,12 @@
         (id, self.session.handle(&request).await)
     }
 
-    pub async fn read(&mut self, thing: &str) -> Reply {
-        self.ask(read(thing)).await
+    pub async fn read(&mut self, key: &str) -> Reply {
+        self.send(read(key)).await
     }
 
-    pub async fn write(&mut self, thing: &str) -> Reply {
-        self.ask(write(thing)).await
+    pub async fn write(&mut self, key: &str) -> Reply {
+        self.send(write(key)).await
     }
 
     /// Writes until one is acknowledged, as a caller that comes back does, and fails unless one
@@ -448,20 +448,20 @@
     }
 
     pub async fn begin(&mut self, read_only: bool) -> Reply {
-        self.ask(Statement::Begin { read_only }).await
+        self.send(Statement::Begin { read_only }).await
     }
 
     pub async fn commit(&mut self) -> Reply {
-        self.ask(Statement::Commit).await
+        self.send(Statement::Commit).await
     }
 
     pub async fn rollback(&mut self) -> Reply {
-        self.ask(Statement::Rollback).await
+        self.send(Statement::Rollback).await
     }
 
     pub async fn set(&mut self, name: &str, value: &str) -> Reply {
         let (name, value) = (bytes(name), bytes(value));
-        self.ask(Statement::Set { name, value }).await
+        self.send(Statement::Set { name, value }).await
     }
 
     pub async fn prepare(&mut self, name: &str, access: Access, shape: &str) -> Reply {
@@ -470,24 +470,24 @@
             shape: bytes(shape),
         };
         let name = bytes(name);
-        self.ask(Statement::Prepare { name, prepared }).await
+        self.send(Statement::Prepare { name, prepared }).await
     }
 
     pub async fn execute(&mut self, name: &str, arguments: &str) -> Reply {
         let (name, arguments) = (bytes(name), bytes(arguments));
-        self.ask(Statement::Execute { name, arguments }).await
+        self.send(Statement::Execute { name, arguments }).await
     }
 }
 
-pub fn read(thing: &str) -> Statement {
+pub fn read(key: &str) -> Statement {
     Statement::Read {
-        text: bytes(&format!("READ {thing}")),
+        text: bytes(&format!("READ {key}")),
     }
 }
 
-pub fn write(thing: &str) -> Statement {
+pub fn write(key: &str) -> Statement {
     Statement::Write {
-        text: bytes(&format!("WRITE {thing}")),
+        text: bytes(&format!("WRITE {key}")),
     }
 }
 
@@ -496,7 +496,7 @@
 }
 
 /// What a read's row tells: the server, and how many commits its log had applied.
-pub fn seen(reply: &Reply) -> (String, u64) {
+pub fn read_row(reply: &Reply) -> (String, u64) {
     assert!(reply.outcome.is_ok(), "{reply:?}");
     let row = std::str::from_utf8(&reply.rows[0]).expect("a text");
     let (server, count) = row.split_once(' ').expect("two words");
@@ -518,7 +518,7 @@
     fn flush(&self) {}
 }
 
-fn print_events_if_asked() {
+fn print_events_if_enabled() {
     if std::env::var_os("STILEQUAY_TEST_EVENTS").is_some() {
         // Several tests may ask for it.
         let _ = log::set_logger(&EventPrinter);
--- a/crates/engine/tests/support/peers.rs
+++ b/crates/engine/tests/support/peers.rs
@@ -21,10 +21,10 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// Time for a question or an answer.
-const ONE_WAY: Duration = Duration::from_millis(1);
+const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
 
 /// When a frame comes again on a link that repeats them.
-const REPEATED_AFTER: Duration = Duration::from_millis(60);
+const REPEAT_DELAY: Duration = Duration::from_millis(60);
 /// Frames of a link that wait on one side.
 const LINK_QUEUE: usize = 2_048;
 
@@ -33,28 +33,28 @@
 pub struct MemoryPeers {
     world: Arc<World>,
     engines: Mutex<HashMap<SocketAddr, Weak<Engine>>>,
-    away: Mutex<bool>,
+    isolated: Mutex<bool>,
     killed: watch::Sender<HashSet<String>>,
     /// What these know reaches nobody over links.
-    secretive: Mutex<HashSet<String>>,
+    update_blackholes: Mutex<HashSet<String>>,
     /// Bytes a second that one process sends over all its links; any number where it is zero.
     pub send_rate: AtomicU64,
     /// Until when what each process has sent is on its way.
     sending_until: Mutex<HashMap<String, Instant>>,
     /// Links of an earlier generation carry nothing any more, and don't end.
     generation: AtomicU64,
-    /// Keeps what links carry, for [`MemoryPeers::processes_passed`].
-    pub keeps_frames: AtomicBool,
+    /// Keeps what links carry, for [`MemoryPeers::processes_reached`].
+    pub records_frames: AtomicBool,
     /// To which process which frame was sent.
     frames: Mutex<Vec<(String, Bytes)>>,
     /// Frames tell a home of another tenant than the one that asks: a planted mistake.
-    pub swaps_tenants: AtomicBool,
+    pub swaps_tenant_names: AtomicBool,
     /// Delivers each frame of a link once more a moment later: a planted mistake.
     pub repeats_frames: AtomicBool,
     /// Questions for news that were sent.
-    pub news_asked: AtomicU64,
+    pub update_requests: AtomicU64,
     /// Answers to these that have arrived.
-    pub news_told: AtomicU64,
+    pub update_replies: AtomicU64,
 }
 
 /// The other processes as one of them reaches them.
@@ -69,18 +69,18 @@
         Arc::new(Self {
             world: Arc::clone(world),
             engines: Mutex::default(),
-            away: Mutex::default(),
+            isolated: Mutex::default(),
             killed: watch::Sender::new(HashSet::new()),
-            secretive: Mutex::default(),
+            update_blackholes: Mutex::default(),
             send_rate: AtomicU64::default(),
             sending_until: Mutex::default(),
             generation: AtomicU64::default(),
-            keeps_frames: AtomicBool::default(),
+            records_frames: AtomicBool::default(),
             frames: Mutex::default(),
-            swaps_tenants: AtomicBool::default(),
+            swaps_tenant_names: AtomicBool::default(),
             repeats_frames: AtomicBool::default(),
-            news_asked: AtomicU64::default(),
-            news_told: AtomicU64::default(),
+            update_requests: AtomicU64::default(),
+            update_replies: AtomicU64::default(),
         })
     }
 
@@ -97,12 +97,15 @@
     }
 
     /// Loses whatever one process tells the others of what it knows; it still runs commands.
-    pub fn lose_knowledge_of(&self, node: &str) {
-        self.secretive.lock().unwrap().insert(node.to_owned());
+    pub fn drop_updates_from(&self, node: &str) {
+        self.update_blackholes
+            .lock()
+            .unwrap()
+            .insert(node.to_owned());
     }
 
     /// The processes to which a frame was sent that names the request `id`.
-    pub fn processes_passed(&self, id: &str) -> BTreeSet<String> {
+    pub fn processes_reached(&self, id: &str) -> BTreeSet<String> {
         let frames = self.frames.lock().unwrap();
         let naming = frames.iter().filter(|(_, frame)| {
             let mut parts = frame.windows(id.len());
@@ -129,7 +132,7 @@
 
     /// Passes frames on from one process to another, after a moment, while both live and
     /// the way between them is open; a process that stands still neither sends nor reads.
-    async fn carry(
+    async fn forward_frames(
         self: Arc<Self>,
         (from, to): (String, String),
         mut rx: mpsc::Receiver<Bytes>,
@@ -143,36 +146,37 @@
                 _ = killed.wait_for(|k| k.contains(&from) || k.contains(&to)) => return,
             };
             let Some(mut frame) = frame else { return };
-            if self.keeps_frames.load(Ordering::Relaxed) {
+            if self.records_frames.load(Ordering::Relaxed) {
                 let sent = (to.clone(), frame.clone());
                 self.frames.lock().unwrap().push(sent);
             }
-            if self.swaps_tenants.load(Ordering::Relaxed) {
-                frame = with_names_swapped(&frame);
+            if self.swaps_tenant_names.load(Ordering::Relaxed) {
+                frame = with_tenants_swapped(&frame);
             }
             let is_question = matches!(decode(&frame), Some(ToHome::Follow { .. }));
             let is_answer = matches!(decode(&frame), Some(FromHome::News { .. }));
-            self.news_asked
+            self.update_requests
                 .fetch_add(u64::from(is_question), Ordering::Relaxed);
             sleep_until(self.sent_at(&from, frame.len())).await;
-            sleep(ONE_WAY).await;
-            self.world.freezer.pass(&from).await;
-            self.world.freezer.pass(&to).await;
+            sleep(ONE_WAY_DELAY).await;
+            self.world.freezer.wait_until_resumed(&from).await;
+            self.world.freezer.wait_until_resumed(&to).await;
             // What a cut holds up is lost.
-            let away = *self.away.lock().unwrap();
+            let isolated = *self.isolated.lock().unwrap();
             let is_silent = generation != self.generation.load(Ordering::Relaxed);
-            let is_kept_back = tells(&frame) && self.secretive.lock().unwrap().contains(&from);
-            let is_open = !away && self.world.network.reaches(&from, &to);
-            let arrives = is_open && !is_silent && !is_kept_back;
-            let told = u64::from(arrives && is_answer);
-            self.news_told.fetch_add(told, Ordering::Relaxed);
+            let is_withheld = carries_store_updates(&frame)
+                && self.update_blackholes.lock().unwrap().contains(&from);
+            let is_open = !isolated && self.world.network.reaches(&from, &to);
+            let arrives = is_open && !is_silent && !is_withheld;
+            let replies = u64::from(arrives && is_answer);
+            self.update_replies.fetch_add(replies, Ordering::Relaxed);
             if arrives && tx.send(frame.clone()).await.is_err() {
                 return;
             }
             if self.repeats_frames.load(Ordering::Relaxed) {
                 let tx = tx.clone();
                 tokio::spawn(async move {
-                    sleep(REPEATED_AFTER).await;
+                    sleep(REPEAT_DELAY).await;
                     let _ = tx.send(frame).await;
                 });
             }
@@ -210,17 +214,17 @@
     }
 
     async fn reach(&self, peer: SocketAddr) -> Result<Arc<Engine>, PeerError> {
-        sleep(ONE_WAY).await;
+        sleep(ONE_WAY_DELAY).await;
         let engines = self.engines.lock().unwrap();
         let engine = engines.get(&peer).and_then(Weak::upgrade);
-        let away = *self.away.lock().unwrap();
-        let engine = engine.filter(|_| !away);
+        let isolated = *self.isolated.lock().unwrap();
+        let engine = engine.filter(|_| !isolated);
         engine.ok_or_else(|| PeerError::Unreachable("away".to_owned()))
     }
 
     /// Lets no process reach another.
-    pub fn set_away(&self, away: bool) {
-        *self.away.lock().unwrap() = away;
+    pub fn set_isolated(&self, isolated: bool) {
+        *self.isolated.lock().unwrap() = isolated;
     }
 }
 
@@ -233,7 +237,7 @@
     ) -> Result<Vec<GroupSnapshot>, PeerError> {
         let engine = self.peers.reach(peer).await?;
         let answer = group_snapshots(&engine, groups);
-        sleep(ONE_WAY).await;
+        sleep(ONE_WAY_DELAY).await;
         Ok(answer)
     }
 
@@ -244,7 +248,7 @@
     ) -> Result<DeclaredState, PeerError> {
         let engine = self.peers.reach(peer).await?;
         let answer = newer(&engine, known, tokio::time::Instant::now());
-        sleep(ONE_WAY).await;
+        sleep(ONE_WAY_DELAY).await;
         Ok(answer)
     }
 
@@ -260,8 +264,8 @@
         let (peer_tx, from_peer) = mpsc::channel(LINK_QUEUE);
         let out = (self.node.clone(), there.clone());
         let back = (there, self.node.clone());
-        tokio::spawn(Arc::clone(&self.peers).carry(out, from_here, to_peer));
-        tokio::spawn(Arc::clone(&self.peers).carry(back, from_peer, to_here));
+        tokio::spawn(Arc::clone(&self.peers).forward_frames(out, from_here, to_peer));
+        tokio::spawn(Arc::clone(&self.peers).forward_frames(back, from_peer, to_here));
         let link = PeerLink {
             tx: peer_tx,
             rx: peer_rx,
@@ -275,7 +279,7 @@
 }
 
 /// Whether a frame tells what its sender knows of the store.
-fn tells(frame: &Bytes) -> bool {
+fn carries_store_updates(frame: &Bytes) -> bool {
     let is_answer = matches!(
         decode(frame),
         Some(FromHome::News { .. } | FromHome::Beliefs { .. })
@@ -285,7 +289,7 @@
 
 /// The frame with the tenants "one" and "two" in each other's place, as texts of three bytes
 /// are encoded.
-fn with_names_swapped(frame: &Bytes) -> Bytes {
+fn with_tenants_swapped(frame: &Bytes) -> Bytes {
     let (one, two) = (b"\xa3one", b"\xa3two");
     let mut swapped = frame.to_vec();
     for place in 0..frame.len().saturating_sub(one.len() - 1) {
--- a/crates/engine/tests/support/records.rs
+++ b/crates/engine/tests/support/records.rs
@@ -14,7 +14,7 @@
 use tokio::time::{sleep, timeout};
 
 /// Time that a call takes.
-const CALL_TIME: Duration = Duration::from_millis(2);
+const CALL_LATENCY: Duration = Duration::from_millis(2);
 
 /// A fault of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -35,20 +35,20 @@
     version: u64,
     fault: Fault,
     /// What some processes are shown in place of what is there: a planted mistake.
-    past: Option<(BTreeMap<String, Record>, u64)>,
-    shown_past: HashSet<String>,
-    pretended: HashSet<String>,
+    stale_state: Option<(BTreeMap<String, Record>, u64)>,
+    stale_nodes: HashSet<String>,
+    falsely_renewed_nodes: HashSet<String>,
     refused_nodes: HashSet<String>,
     ignored_nodes: HashSet<String>,
     calls: u64,
-    whole_reads: u64,
+    full_reads: u64,
     block_reads: u64,
     roster_puts: u64,
 }
 
 /// What the store held at a moment.
 #[derive(Debug, Clone)]
-pub struct Copy {
+pub struct Backup {
     rows: BTreeMap<String, Record>,
     number: u64,
 }
@@ -83,17 +83,17 @@
     }
 
     /// Shows one process nothing newer than now: no such store may be built upon.
-    pub fn show_past_to(&self, node: &str) {
+    pub fn serve_stale_data_to(&self, node: &str) {
         let mut state = self.state.lock().unwrap();
-        state.past = Some((state.rows.clone(), state.version));
-        state.shown_past.insert(node.to_owned());
+        state.stale_state = Some((state.rows.clone(), state.version));
+        state.stale_nodes.insert(node.to_owned());
     }
 
     /// Lets one process believe that its lease is renewed, whoever has taken it: as if it
     /// did not check it. No such store may be built upon.
-    pub fn pretend_renewals_to(&self, node: &str) {
+    pub fn fake_renewals_for(&self, node: &str) {
         let mut state = self.state.lock().unwrap();
-        state.pretended.insert(node.to_owned());
+        state.falsely_renewed_nodes.insert(node.to_owned());
     }
 
     /// Turns one process away, or serves it again.
@@ -118,30 +118,30 @@
         state.fault == Fault::None && !is_refused && !self.freezer.is_frozen(node)
     }
 
-    pub fn copy(&self) -> Copy {
+    pub fn back_up(&self) -> Backup {
         let state = self.state.lock().unwrap();
-        Copy {
+        Backup {
             rows: state.rows.clone(),
             number: number_of(state.version),
         }
     }
 
     /// Goes back to a copy: what was written since is lost, and its versions are given out again.
-    pub fn restore(&self, copy: Copy) {
+    pub fn restore(&self, backup: Backup) {
         let mut state = self.state.lock().unwrap();
         let era = era_of(state.version) + 1;
-        state.rows = copy.rows;
+        state.rows = backup.rows;
         for row in state.rows.values_mut() {
             row.version = version(era, number_of(row.version));
         }
-        state.version = version(era, copy.number);
+        state.version = version(era, backup.number);
         let newest = state.version;
         drop(state);
         self.changes.send_replace(newest);
     }
 
     /// Writes a record that no feed tells of any more.
-    pub fn put_unseen(&self, key: &str) {
+    pub fn put_without_notification(&self, key: &str) {
         let record = Record {
             key: key.to_owned(),
             value: Bytes::new(),
@@ -156,8 +156,8 @@
     }
 
     /// How often everything was read.
-    pub fn whole_reads(&self) -> u64 {
-        self.state.lock().unwrap().whole_reads
+    pub fn full_reads(&self) -> u64 {
+        self.state.lock().unwrap().full_reads
     }
 
     /// How often the records of a block of groups were read.
@@ -184,27 +184,27 @@
 
 impl NodeRecords {
     /// What a reading shows to this process.
-    fn shown(&self) -> (BTreeMap<String, Record>, u64) {
+    fn visible_rows(&self) -> (BTreeMap<String, Record>, u64) {
         let state = self.store.state.lock().unwrap();
         let present = (state.rows.clone(), state.version);
-        match state.shown_past.contains(&self.node) {
-            true => state.past.clone().unwrap_or(present),
+        match state.stale_nodes.contains(&self.node) {
+            true => state.stale_state.clone().unwrap_or(present),
             false => present,
         }
     }
 
-    fn is_pretended(&self) -> bool {
+    fn fakes_renewals(&self) -> bool {
         let state = self.store.state.lock().unwrap();
-        state.pretended.contains(&self.node)
+        state.falsely_renewed_nodes.contains(&self.node)
     }
 
     async fn read_where(
         &self,
         is_wanted: impl Fn(&str) -> bool + Send,
     ) -> Result<RecordChanges, RecordStoreError> {
-        self.enter().await?;
-        let (rows, version) = self.shown();
-        self.store.freezer.pass(&self.node).await;
+        self.begin_call().await?;
+        let (rows, version) = self.visible_rows();
+        self.store.freezer.wait_until_resumed(&self.node).await;
         let written = rows.into_values().filter(|row| is_wanted(&row.key));
         Ok(RecordChanges {
             written: written.collect(),
@@ -213,8 +213,8 @@
     }
 
     /// Lets a call take its time, and fail as the present fault says.
-    async fn enter(&self) -> Result<Fault, RecordStoreError> {
-        sleep(CALL_TIME).await;
+    async fn begin_call(&self) -> Result<Fault, RecordStoreError> {
+        sleep(CALL_LATENCY).await;
         let (fault, refused) = {
             let mut state = self.store.state.lock().unwrap();
             state.calls += 1;
@@ -239,7 +239,7 @@
 #[async_trait]
 impl RecordStore for NodeRecords {
     async fn read(&self, prefix: &str) -> Result<RecordChanges, RecordStoreError> {
-        self.store.state.lock().unwrap().whole_reads += u64::from(prefix.is_empty());
+        self.store.state.lock().unwrap().full_reads += u64::from(prefix.is_empty());
         self.read_where(|key| key.starts_with(prefix)).await
     }
 
@@ -255,9 +255,9 @@
     async fn watch(&self, version: u64, wait: Duration) -> Result<RecordChanges, RecordStoreError> {
         let mut changes = self.store.changes.subscribe();
         let _ = timeout(wait, changes.wait_for(|newest| *newest > version)).await;
-        self.enter().await?;
+        self.begin_call().await?;
         let state = self.store.state.lock().unwrap();
-        if state.shown_past.contains(&self.node) {
+        if state.stale_nodes.contains(&self.node) {
             return Ok(RecordChanges {
                 written: Vec::new(),
                 version,
@@ -274,12 +274,12 @@
     }
 
     async fn put_all(&self, puts: &[RecordPut]) -> Result<PutOutcome, RecordStoreError> {
-        let fault = self.enter().await?;
+        let fault = self.begin_call().await?;
         let is_roster = puts.iter().any(|put| put.key.starts_with("roster/"));
         self.store.state.lock().unwrap().roster_puts += u64::from(is_roster);
         if let [put] = puts
             && put.key.starts_with("lease/")
-            && self.is_pretended()
+            && self.fakes_renewals()
         {
             return Ok(PutOutcome::Stored(put.expected + 1));
         }
@@ -302,7 +302,7 @@
             version
         };
         self.store.changes.send_replace(version);
-        self.store.freezer.pass(&self.node).await;
+        self.store.freezer.wait_until_resumed(&self.node).await;
         match fault {
             Fault::LosingAnswers => Err(RecordStoreError::Unknown("lost".to_owned())),
             _ => Ok(PutOutcome::Stored(version)),
--- a/crates/engine/tests/support/servers/connection.rs
+++ b/crates/engine/tests/support/servers/connection.rs
@@ -1,6 +1,6 @@
 //! Connections of processes to servers.
 
-use super::{Glimpse, ROUND_TRIP, ReadLog, World};
+use super::{ROUND_TRIP, ReadLog, ServerSnapshot, World};
 use async_trait::async_trait;
 use bytes::Bytes;
 use std::collections::{BTreeMap, HashMap};
@@ -20,12 +20,12 @@
 use tokio::time::{Instant, sleep};
 
 /// Time that a statement runs.
-const WORK: Duration = Duration::from_millis(4);
+const STATEMENT_TIME: Duration = Duration::from_millis(4);
 /// Entries of a read's log that are remembered: more than a leader can lose.
-const TAIL: usize = 40;
+const READ_TAIL_LEN: usize = 40;
 
 /// A place at a server while a statement runs, where places are limited.
-type Place = Option<OwnedSemaphorePermit>;
+type SlotPermit = Option<OwnedSemaphorePermit>;
 
 /// Connects one process.
 #[derive(Debug)]
@@ -44,16 +44,16 @@
         sleep(ROUND_TRIP).await;
         // Servers are called by their names only: the next life answers for the one before.
         let name = server_name(&member.id);
-        let server = self.world.glimpse(name);
-        if server.dark || !self.world.network.reaches(&self.node, name) {
+        let server = self.world.snapshot(name);
+        if server.unresponsive || !self.world.network.reaches(&self.node, name) {
             pending::<()>().await;
         }
         if !server.running {
             return Err(ConnectError::Refused("connection refused".to_owned()));
         }
-        let accepts = self.world.lock()[name].accepts;
+        let max_connections = self.world.lock()[name].max_connections;
         let open = self.world.open_connections(name);
-        if server.full || accepts.is_some_and(|most| open >= most) {
+        if server.connections_exhausted || max_connections.is_some_and(|most| open >= most) {
             return Err(ConnectError::TooManyConnections);
         }
         if enter(&self.world, name).await.is_none() {
@@ -66,7 +66,7 @@
             world: Arc::clone(&self.world),
             node: self.node.clone(),
             server: name.to_owned(),
-            life: server.born,
+            incarnation: server.started_at,
             tenant: tenant.cloned(),
             generation: self.world.generation.load(Ordering::Relaxed),
             transaction: None,
@@ -95,7 +95,7 @@
     world: Arc<World>,
     node: String,
     server: String,
-    life: Option<u64>,
+    incarnation: Option<u64>,
     tenant: Option<TenantName>,
     generation: u64,
     transaction: Option<WorldTransaction>,
@@ -114,13 +114,14 @@
 
 impl WorldConnection {
     /// The server as it answers; never resolves where it says nothing.
-    async fn reach(&self) -> Result<Glimpse, BackEndConnectionError> {
-        let server = self.world.glimpse(&self.server);
+    async fn reach(&self) -> Result<ServerSnapshot, BackEndConnectionError> {
+        let server = self.world.snapshot(&self.server);
         let is_silent = self.generation != self.world.generation.load(Ordering::Relaxed);
-        if is_silent || server.dark || !self.world.network.reaches(&self.node, &self.server) {
+        if is_silent || server.unresponsive || !self.world.network.reaches(&self.node, &self.server)
+        {
             pending::<()>().await;
         }
-        if !server.running || server.born != self.life {
+        if !server.running || server.started_at != self.incarnation {
             return Err(BackEndConnectionError::Closed(
                 "the server is gone".to_owned(),
             ));
@@ -160,7 +161,7 @@
         self.answer(Vec::new(), Ok(signature.into()))
     }
 
-    fn lacks(&self, after: &Option<LogPosition>) -> bool {
+    fn is_behind(&self, after: &Option<LogPosition>) -> bool {
         let servers = self.world.lock();
         let server = &servers[&self.server];
         let applied = server.applied(Instant::now());
@@ -178,16 +179,16 @@
     async fn run_text(&mut self, id: &str, text: &[u8]) -> Result<Answer, BackEndConnectionError> {
         let server = self.reach().await?;
         let place = enter(&self.world, &self.server).await;
-        let Some(place) = place.filter(|_| !server.busy) else {
+        let Some(place) = place.filter(|_| !server.queue_full) else {
             return Ok(self.refuse(RefusalKind::Busy));
         };
-        sleep(WORK * server.slowness).await;
+        sleep(STATEMENT_TIME * server.slowdown).await;
         drop(place);
         let server = self.reach().await?;
         self.world.change(&self.server, |s| s.statements += 1);
-        self.world.note_tenant(id, self.tenant.clone());
+        self.world.record_tenant(id, self.tenant.clone());
         if text.starts_with(b"READ") {
-            let applied = self.remember_read(id);
+            let applied = self.record_read(id);
             let values: Vec<String> = self
                 .values
                 .iter()
@@ -217,11 +218,11 @@
     }
 
     /// Remembers the log that a read sees; returns its length.
-    fn remember_read(&self, id: &str) -> usize {
+    fn record_read(&self, id: &str) -> usize {
         let servers = self.world.lock();
         let server = &servers[&self.server];
         let applied = server.applied(Instant::now());
-        let tail = &server.log[applied.saturating_sub(TAIL)..applied];
+        let tail = &server.log[applied.saturating_sub(READ_TAIL_LEN)..applied];
         let tail = tail.iter().map(|entry| entry.1.clone()).collect();
         let mut reads = self.world.reads.lock().unwrap();
         reads.insert(id.to_owned(), ReadLog { applied, tail });
@@ -250,7 +251,7 @@
             }
         }
         let server = self.reach().await?;
-        if server.breaks_off {
+        if server.closes_before_answer {
             return Err(BackEndConnectionError::Closed("broken off".to_owned()));
         }
         if server.loses_answers {
@@ -264,19 +265,19 @@
 impl BackEndConnection for WorldConnection {
     async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError> {
         let answer = self.run_at_server(command).await;
-        self.world.freezer.pass(&self.node).await;
+        self.world.freezer.wait_until_resumed(&self.node).await;
         answer
     }
 
     async fn control(&mut self, control: Control) -> Result<MemberReport, BackEndConnectionError> {
         let report = self.control_server(control).await;
-        self.world.freezer.pass(&self.node).await;
+        self.world.freezer.wait_until_resumed(&self.node).await;
         report
     }
 
     fn is_open(&mut self) -> bool {
-        let server = self.world.glimpse(&self.server);
-        server.running && server.born == self.life
+        let server = self.world.snapshot(&self.server);
+        server.running && server.started_at == self.incarnation
     }
 }
 
@@ -288,14 +289,14 @@
         self.world
             .change(&self.server, |s| s.last_command = arrived);
         if let Some(id) = statement_id(command) {
-            self.world.note_arrival(id, &self.server);
+            self.world.record_arrival(id, &self.server);
         }
         match command {
             Command::Begin { read_only, after } => {
                 if !read_only && server.role != Role::Primary {
                     return Ok(self.refuse(RefusalKind::NotLeader));
                 }
-                if self.lacks(after) {
+                if self.is_behind(after) {
                     return Ok(self.refuse(RefusalKind::Lagging));
                 }
                 self.transaction = Some(WorldTransaction {
@@ -318,7 +319,7 @@
             Command::Run {
                 id, text, after, ..
             } => {
-                if self.lacks(after) {
+                if self.is_behind(after) {
                     return Ok(self.refuse(RefusalKind::Lagging));
                 }
                 self.run_text(id, text).await
@@ -329,7 +330,7 @@
                 arguments,
                 after,
             } => {
-                if self.lacks(after) {
+                if self.is_behind(after) {
                     return Ok(self.refuse(RefusalKind::Lagging));
                 }
                 let Some(shape) = self.prepared.get(name).cloned() else {
@@ -343,11 +344,11 @@
                 Ok(self.complete(String::new()))
             }
             Command::Prepare { name, prepared } => {
-                let word = match prepared.access {
+                let keyword = match prepared.access {
                     stilequay_engine::statement::Access::Read => "READ ",
                     stilequay_engine::statement::Access::Write => "WRITE ",
                 };
-                let shape = [word.as_bytes(), prepared.shape.as_ref()].concat();
+                let shape = [keyword.as_bytes(), prepared.shape.as_ref()].concat();
                 self.prepared.insert(name.clone(), shape.into());
                 Ok(self.complete(String::new()))
             }
@@ -365,7 +366,7 @@
     ) -> Result<MemberReport, BackEndConnectionError> {
         sleep(ROUND_TRIP).await;
         let server = self.reach().await?;
-        if server.busy {
+        if server.queue_full {
             return Err(BackEndConnectionError::Refused(
                 "its queue is full".to_owned(),
             ));
@@ -394,7 +395,7 @@
 }
 
 /// A place at the server called `name`: `None` where its queue is full.
-async fn enter(world: &World, name: &str) -> Option<Place> {
+async fn enter(world: &World, name: &str) -> Option<SlotPermit> {
     match world.slots_of(name) {
         Some(slots) => slots.enter().await.map(Some),
         None => Some(None),
--- a/crates/engine/tests/support/servers/mod.rs
+++ b/crates/engine/tests/support/servers/mod.rs
@@ -29,31 +29,31 @@
     pub log: Vec<(u64, String)>,
     pub paused_for: u64,
     /// Its life: the start that its entry tells, if it tells one.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
     /// Process is there.
     pub running: bool,
     /// Says nothing to anybody.
-    pub dark: bool,
+    pub unresponsive: bool,
     /// Receives nothing.
-    pub deaf: bool,
+    pub not_receiving: bool,
     /// Refuses every new connection: it has too many.
-    pub full: bool,
+    pub connections_exhausted: bool,
     /// Connections that it accepts; any number where there is none.
-    pub accepts: Option<usize>,
+    pub max_connections: Option<usize>,
     /// Answers every statement and order that its queue is full.
-    pub busy: bool,
+    pub queue_full: bool,
     /// Runs statements and loses their answers.
     pub loses_answers: bool,
     /// Breaks connections off in place of an answer.
-    pub breaks_off: bool,
+    pub closes_before_answer: bool,
     pub state: MemberState,
     /// How many times longer statements take.
-    pub slowness: u32,
+    pub slowdown: u32,
     /// How far behind it applies what it has received.
     pub apply_lag: Duration,
     pub received_at: Vec<Instant>,
     /// Entries that it had as leader: it goes on showing them when it leads no more.
-    pub shown: usize,
+    pub applied_as_leader: usize,
     /// Says that it has paused, and goes on receiving: a planted mistake.
     pub ignores_pause: bool,
     pub statements: u64,
@@ -77,26 +77,26 @@
         let applied = self
             .received_at
             .partition_point(|at| *at + self.apply_lag <= now);
-        applied.max(self.shown).min(self.log.len())
+        applied.max(self.applied_as_leader).min(self.log.len())
     }
 
     /// Starts it again under its name: it holds nothing of before, and knows of no lead.
-    pub fn start_anew(&mut self) {
-        self.born = Some(self.born.map_or(1, |born| born + 1));
+    pub fn start_empty(&mut self) {
+        self.started_at = Some(self.started_at.map_or(1, |started_at| started_at + 1));
         self.role = Role::Replica;
         self.term = 1;
         self.log.clear();
         self.received_at.clear();
-        self.shown = 0;
+        self.applied_as_leader = 0;
         self.paused_for = 0;
         self.running = true;
-        self.dark = false;
+        self.unresponsive = false;
     }
 
     /// Takes the lead away from it: its log stays, and so does what reads see of it.
     pub fn step_down(&mut self) {
         if self.role == Role::Primary {
-            self.shown = self.log.len();
+            self.applied_as_leader = self.log.len();
             self.role = Role::Replica;
         }
     }
@@ -104,36 +104,36 @@
 
 /// What a connection needs to know of its server.
 #[derive(Debug, Clone, Copy)]
-pub struct Glimpse {
+pub struct ServerSnapshot {
     pub role: Role,
     pub term: u64,
     pub paused_for: u64,
     pub position: LogPosition,
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
     pub running: bool,
-    pub dark: bool,
-    pub full: bool,
-    pub busy: bool,
+    pub unresponsive: bool,
+    pub connections_exhausted: bool,
+    pub queue_full: bool,
     pub loses_answers: bool,
-    pub breaks_off: bool,
-    pub slowness: u32,
+    pub closes_before_answer: bool,
+    pub slowdown: u32,
 }
 
-impl Glimpse {
+impl ServerSnapshot {
     pub fn of(server: &Server) -> Self {
         Self {
             role: server.role,
             term: server.term,
             paused_for: server.paused_for,
             position: server.position(),
-            born: server.born,
+            started_at: server.started_at,
             running: server.running,
-            dark: server.dark,
-            full: server.full,
-            busy: server.busy,
+            unresponsive: server.unresponsive,
+            connections_exhausted: server.connections_exhausted,
+            queue_full: server.queue_full,
             loses_answers: server.loses_answers,
-            breaks_off: server.breaks_off,
-            slowness: server.slowness,
+            closes_before_answer: server.closes_before_answer,
+            slowdown: server.slowdown,
         }
     }
 }
--- a/crates/engine/tests/support/servers/promoter.rs
+++ b/crates/engine/tests/support/servers/promoter.rs
@@ -24,7 +24,7 @@
         sleep(ROUND_TRIP).await;
         self.world.promotions.lock().unwrap().push(order.clone());
         let target = server_name(&order.target).to_owned();
-        let server = self.world.glimpse(&target);
+        let server = self.world.snapshot(&target);
         if !server.running {
             return Err(PromoteError::TargetDown);
         }
@@ -35,8 +35,8 @@
         tokio::spawn(async move {
             sleep(PROMOTION_TIME).await;
             // A server that has started again meanwhile knows nothing of the order.
-            let present = world.glimpse(&target);
-            if !present.running || present.born != server.born {
+            let present = world.snapshot(&target);
+            if !present.running || present.started_at != server.started_at {
                 return;
             }
             let newest = world.lock().values().map(|s| s.term).max().unwrap_or(0);
@@ -45,8 +45,8 @@
                 server.term = newest + 1;
                 server.paused_for = 0;
             });
-            world.tell_replicas(&target);
-            world.yield_old_leaders(&target);
+            world.announce_promotion(&target);
+            world.demote_old_leaders(&target);
         });
         Ok(())
     }
--- a/crates/engine/tests/support/servers/world.rs
+++ b/crates/engine/tests/support/servers/world.rs
@@ -1,7 +1,7 @@
 //! All servers, and what they do to one another.
 
 use super::network::Network;
-use super::{Glimpse, ReadLog, Server, Slots};
+use super::{ReadLog, Server, ServerSnapshot, Slots};
 use crate::support::freezer::Freezer;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, sleep};
 
 /// Time after which an old leader that can reach the new one gives up.
-const YIELD_TIME: Duration = Duration::from_secs(1);
+const OLD_LEADER_DEMOTION_DELAY: Duration = Duration::from_secs(1);
 
 /// All servers of the only group.
 #[derive(Debug)]
@@ -35,9 +35,9 @@
     /// Connections that stand at each server.
     pub(super) connections: Mutex<HashMap<String, usize>>,
     /// Entries that are left out of the directory: a planted mistake.
-    pub hidden: Mutex<HashSet<String>>,
+    pub unlisted: Mutex<HashSet<String>>,
     /// Entries of members of other groups, which nobody asks.
-    pub further: Mutex<Vec<Member>>,
+    pub other_members: Mutex<Vec<Member>>,
     /// Processes that stand still.
     pub freezer: Freezer,
     /// Places of each server; without limit where there are none.
@@ -52,20 +52,20 @@
             term: 1,
             log: Vec::new(),
             paused_for: 0,
-            born: None,
+            started_at: None,
             running: true,
-            dark: false,
-            deaf: false,
-            full: false,
-            accepts: None,
-            busy: false,
+            unresponsive: false,
+            not_receiving: false,
+            connections_exhausted: false,
+            max_connections: None,
+            queue_full: false,
             loses_answers: false,
-            breaks_off: false,
+            closes_before_answer: false,
             state: MemberState::Ready,
-            slowness: 1,
+            slowdown: 1,
             apply_lag: Duration::from_millis(8),
             received_at: Vec::new(),
-            shown: 0,
+            applied_as_leader: 0,
             ignores_pause: false,
             statements: 0,
             last_command: None,
@@ -88,15 +88,15 @@
             runs: Mutex::default(),
             generation: AtomicU64::default(),
             connections: Mutex::default(),
-            hidden: Mutex::default(),
-            further: Mutex::default(),
+            unlisted: Mutex::default(),
+            other_members: Mutex::default(),
             slots: Mutex::default(),
             freezer: Freezer::default(),
         })
     }
 
     /// The tenant that a server was told for the statement `id`; `None` where none ran it.
-    pub fn tenant_told(&self, id: &str) -> Option<Option<TenantName>> {
+    pub fn tenant_received(&self, id: &str) -> Option<Option<TenantName>> {
         self.tenants.lock().unwrap().get(id).cloned()
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// When statements of `tenant` have begun to run, in order.
-    pub fn runs_of(&self, tenant: &str) -> Vec<Instant> {
+    pub fn run_times(&self, tenant: &str) -> Vec<Instant> {
         let runs = self.runs.lock().unwrap();
         let of_tenant = runs.iter().filter(|(_, name)| &**name == tenant);
         of_tenant.map(|(at, _)| *at).collect()
@@ -125,12 +125,12 @@
         of_statement.map(|(_, server)| server.clone()).collect()
     }
 
-    pub(super) fn note_arrival(&self, id: &str, server: &str) {
+    pub(super) fn record_arrival(&self, id: &str, server: &str) {
         let arrival = (id.to_owned(), server.to_owned());
         self.arrivals.lock().unwrap().push(arrival);
     }
 
-    pub(super) fn note_tenant(&self, id: &str, tenant: Option<TenantName>) {
+    pub(super) fn record_tenant(&self, id: &str, tenant: Option<TenantName>) {
         if let Some(tenant) = &tenant {
             let run = (Instant::now(), tenant.clone());
             self.runs.lock().unwrap().push(run);
@@ -143,7 +143,7 @@
     }
 
     /// Gives every server room for `running` statements, and `queue` more that wait.
-    pub fn limit_slots(&self, running: usize, queue: usize) {
+    pub fn set_slot_limits(&self, running: usize, queue: usize) {
         let names: Vec<String> = self.lock().keys().cloned().collect();
         let mut slots = self.slots.lock().unwrap();
         slots.extend(
@@ -161,8 +161,8 @@
         self.lock()[name].clone()
     }
 
-    pub(super) fn glimpse(&self, name: &str) -> Glimpse {
-        Glimpse::of(&self.lock()[name])
+    pub(super) fn snapshot(&self, name: &str) -> ServerSnapshot {
+        ServerSnapshot::of(&self.lock()[name])
     }
 
     /// A crash: connections end, the log stays.
@@ -178,7 +178,7 @@
         let newest = self.newest_leader();
         self.change(name, |server| {
             server.running = true;
-            server.dark = false;
+            server.unresponsive = false;
             if newest.is_some_and(|(leader, term)| leader != name && term > server.term) {
                 server.step_down();
             }
@@ -186,8 +186,8 @@
     }
 
     /// Back under its name after a crash, with nothing of before.
-    pub fn start_anew(&self, name: &str) {
-        self.change(name, Server::start_anew);
+    pub fn start_empty(&self, name: &str) {
+        self.change(name, Server::start_empty);
     }
 
     fn newest_leader(&self) -> Option<(String, u64)> {
@@ -218,10 +218,10 @@
     /// The servers' entries.
     pub fn entries(&self) -> Vec<Member> {
         let servers = self.lock();
-        let hidden = self.hidden.lock().unwrap();
-        let listed = servers.iter().filter(|(name, _)| !hidden.contains(*name));
+        let unlisted = self.unlisted.lock().unwrap();
+        let listed = servers.iter().filter(|(name, _)| !unlisted.contains(*name));
         let listed = listed.map(|(name, server)| Member {
-            id: incarnation_id(name, server.born),
+            id: incarnation_id(name, server.started_at),
             group: Arc::from(crate::support::GROUP),
             address: address_of(name),
             zone: Arc::from(format!("zone-{name}").as_str()),
@@ -231,8 +231,8 @@
             state: server.state,
             changed: 0,
         });
-        let further = self.further.lock().unwrap();
-        listed.chain(further.iter().cloned()).collect()
+        let other_members = self.other_members.lock().unwrap();
+        listed.chain(other_members.iter().cloned()).collect()
     }
 
     pub(super) fn lock(&self) -> MutexGuard<'_, BTreeMap<String, Server>> {
@@ -251,14 +251,14 @@
             let receives = name != leader
                 && replica.role == Role::Replica
                 && replica.running
-                && !replica.dark
-                && !replica.deaf
+                && !replica.unresponsive
+                && !replica.not_receiving
                 && !paused
                 && replica.term <= term
                 && self.network.reaches(leader, name);
             if receives {
                 replica.term = term;
-                take_log(replica, &log, now);
+                sync_log(replica, &log, now);
                 received += 1;
             }
         }
@@ -267,29 +267,30 @@
     }
 
     /// A promotion ends the pause of every replica that hears of it.
-    pub(super) fn tell_replicas(&self, leader: &str) {
+    pub(super) fn announce_promotion(&self, leader: &str) {
         let mut servers = self.lock();
         let (term, log) = (servers[leader].term, servers[leader].log.clone());
         for (name, server) in servers.iter_mut() {
-            let hears = server.running && !server.dark && self.network.reaches(leader, name);
+            let hears =
+                server.running && !server.unresponsive && self.network.reaches(leader, name);
             if hears && server.role == Role::Replica && server.term < term {
                 server.term = term;
                 server.paused_for = 0;
-                take_log(server, &log, Instant::now());
+                sync_log(server, &log, Instant::now());
                 server.log.truncate(log.len());
-                server.shown = server.shown.min(log.len());
+                server.applied_as_leader = server.applied_as_leader.min(log.len());
                 server.received_at.truncate(log.len());
             }
         }
     }
 
     /// A leader that can reach a newer one gives up after a while.
-    pub(super) fn yield_old_leaders(self: &Arc<Self>, new: &str) {
+    pub(super) fn demote_old_leaders(self: &Arc<Self>, new: &str) {
         let world = Arc::clone(self);
         let new = new.to_owned();
         tokio::spawn(async move {
             for _ in 0..200 {
-                sleep(YIELD_TIME).await;
+                sleep(OLD_LEADER_DEMOTION_DELAY).await;
                 let mut servers = world.lock();
                 let Some(newest) = servers.get(&new).map(|s| (s.term, s.log.clone())) else {
                     return;
@@ -299,7 +300,7 @@
                     if older && server.running && world.network.reaches(&new, name) {
                         server.step_down();
                         server.term = newest.0;
-                        take_log(server, &newest.1, Instant::now());
+                        sync_log(server, &newest.1, Instant::now());
                     }
                 }
             }
@@ -314,7 +315,7 @@
 }
 
 /// Takes what `log` has, dropping what differs from it.
-fn take_log(server: &mut Server, log: &[(u64, String)], now: Instant) {
+fn sync_log(server: &mut Server, log: &[(u64, String)], now: Instant) {
     let last = server.log.len().checked_sub(1);
     let is_prefix = last.is_none_or(|last| server.log.get(last) == log.get(last));
     let same = match is_prefix {
@@ -327,7 +328,7 @@
             .count(),
     };
     server.log.truncate(same);
-    server.shown = server.shown.min(same);
+    server.applied_as_leader = server.applied_as_leader.min(same);
     server.received_at.truncate(same);
     server.log.extend_from_slice(&log[same..]);
     server.received_at.resize(log.len(), now);
--- a/crates/engine/tests/tenants.rs
+++ b/crates/engine/tests/tenants.rs
@@ -102,11 +102,11 @@
                 let database =
                     [LEADER_DATABASE, BOUNDED_DATABASE, OWN_DATABASE][(round + node) % 3];
                 let mut client = client(fleet, node, database, key);
-                let (id, reply) = client.ask_as(read("x")).await;
+                let (id, reply) = client.send_with_id(read("x")).await;
                 assert!(reply.outcome.is_ok(), "{reply:?}");
                 asked.insert(id, tenant);
                 client.begin(false).await;
-                let (id, reply) = client.ask_as(write("x 1")).await;
+                let (id, reply) = client.send_with_id(write("x 1")).await;
                 assert!(reply.outcome.is_ok(), "{reply:?}");
                 asked.insert(id, tenant);
                 assert!(client.commit().await.outcome.is_ok());
@@ -114,7 +114,7 @@
         }
     }
     let is_wrong = |(id, tenant): &(&String, &&str)| {
-        let told = fleet.world.tenant_told(id).expect("it has run");
+        let told = fleet.world.tenant_received(id).expect("it has run");
         told.as_deref() != Some(**tenant)
     };
     asked.iter().filter(is_wrong).count()
@@ -134,7 +134,10 @@
 async fn a_home_that_mixes_tenants_up_is_found() {
     let fleet = fleet_of(LARGE).await;
     sleep(Duration::from_secs(2)).await;
-    fleet.peers.swaps_tenants.store(true, Ordering::Relaxed);
+    fleet
+        .peers
+        .swaps_tenant_names
+        .store(true, Ordering::Relaxed);
     assert!(mixed_up(&fleet).await > 0);
 }
 
@@ -235,9 +238,9 @@
         fleet.freeze(&frozen_node, false);
     }
     for client in &mut clients {
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         assert_eq!(reason(&reply), Some(FailureReason::ConfigurationOutdated));
-        assert_eq!(fleet.world.tenant_told(&id), None);
+        assert_eq!(fleet.world.tenant_received(&id), None);
     }
 }
 
@@ -288,9 +291,9 @@
     declare(&fleet, with_tenants(2, &declared)).await;
     for name in &tenants {
         let mut client = client(&fleet, 0, LEADER_DATABASE, name);
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         assert!(reply.outcome.is_ok(), "{reply:?}");
-        let told = fleet.world.tenant_told(&id).expect("it has run");
+        let told = fleet.world.tenant_received(&id).expect("it has run");
         assert_eq!(told.as_deref(), Some(name.as_str()));
         assert!(fleet.world.open_connections("a") <= 34);
     }
--- a/crates/engine/tests/writes.rs
+++ b/crates/engine/tests/writes.rs
@@ -9,33 +9,43 @@
 use support::{Fleet, LEADER_DATABASE};
 use tokio::time::{Instant, sleep};
 
-fn busy(server: &mut Server) {
-    server.busy = true;
+fn queue_full(server: &mut Server) {
+    server.queue_full = true;
 }
 
-fn full(server: &mut Server) {
-    server.full = true;
+fn connections_exhausted(server: &mut Server) {
+    server.connections_exhausted = true;
 }
 
 fn loses_answers(server: &mut Server) {
     server.loses_answers = true;
 }
 
-fn breaks_off(server: &mut Server) {
-    server.breaks_off = true;
+fn closes_before_answer(server: &mut Server) {
+    server.closes_before_answer = true;
 }
 
-fn dark(server: &mut Server) {
-    server.dark = true;
+fn unresponsive(server: &mut Server) {
+    server.unresponsive = true;
 }
 
 /// What the caller is told, and how many commits there are in the end.
 #[rstest]
-#[case::its_queue_is_full(busy, Verdict::NotRun, FailureReason::Overloaded, 0)]
-#[case::it_takes_no_connection(full, Verdict::NotRun, FailureReason::Overloaded, 0)]
+#[case::its_queue_is_full(queue_full, Verdict::NotRun, FailureReason::Overloaded, 0)]
+#[case::it_takes_no_connection(
+    connections_exhausted,
+    Verdict::NotRun,
+    FailureReason::Overloaded,
+    0
+)]
 #[case::its_answer_is_lost(loses_answers, Verdict::MayHaveRun, FailureReason::AnswerTimedOut, 1)]
-#[case::it_breaks_off(breaks_off, Verdict::MayHaveRun, FailureReason::ConnectionLost, 1)]
-#[case::it_says_nothing(dark, Verdict::NotRun, FailureReason::Overloaded, 0)]
+#[case::it_breaks_off(
+    closes_before_answer,
+    Verdict::MayHaveRun,
+    FailureReason::ConnectionLost,
+    1
+)]
+#[case::it_says_nothing(unresponsive, Verdict::NotRun, FailureReason::Overloaded, 0)]
 #[tokio::test(start_paused = true)]
 async fn a_write_that_fails_is_told_truly_and_never_runs_twice(
     #[case] fault: fn(&mut Server),
@@ -82,8 +92,12 @@
 #[tokio::test(start_paused = true)]
 async fn a_commit_that_no_replica_receives_is_not_acknowledged() {
     let fleet = Fleet::start(1).await;
-    fleet.world.change("b", |server| server.deaf = true);
-    fleet.world.change("c", |server| server.deaf = true);
+    fleet
+        .world
+        .change("b", |server| server.not_receiving = true);
+    fleet
+        .world
+        .change("c", |server| server.not_receiving = true);
     let mut client = fleet.session(0, LEADER_DATABASE);
     let failure = client.write("x 1").await.outcome.expect_err("no replica");
     assert_eq!(failure.verdict, Verdict::MayHaveRun);
@@ -92,11 +106,11 @@
 #[tokio::test(start_paused = true)]
 async fn a_queue_that_is_full_for_a_moment_only_delays() {
     let fleet = Fleet::start(1).await;
-    fleet.world.change("a", busy);
+    fleet.world.change("a", queue_full);
     let world = fleet.world.clone();
     tokio::spawn(async move {
         sleep(Duration::from_millis(100)).await;
-        world.change("a", |server| server.busy = false);
+        world.change("a", |server| server.queue_full = false);
     });
     let mut client = fleet.session(0, LEADER_DATABASE);
     assert!(client.write("x 1").await.outcome.is_ok());
