--- a/crates/engine/tests/beliefs.rs
+++ b/crates/engine/tests/beliefs.rs
@@ -14,7 +14,7 @@
     Group::new("ledger".into())
 }
 
-fn led_by(member: &str, epoch: Epoch) -> UsableLeader {
+fn usable_leader(member: &str, epoch: Epoch) -> UsableLeader {
     UsableLeader {
         member: member.into(),
         epoch,
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_read_of_the_store_lasts_from_when_it_was_begun() {
+async fn store_read_is_evidence_from_its_start() {
     let group = group();
     let begun = Instant::now();
     advance(Duration::from_millis(150)).await;
@@ -60,9 +60,9 @@
 
 #[rstest]
 #[case::a_replica_received_it(true, Some("a"))]
-#[case::none_had_to(false, None)]
+#[case::no_replica_received_it(false, None)]
 #[tokio::test(start_paused = true)]
-async fn a_commit_is_evidence_only_where_a_replica_received_it(
+async fn commit_is_evidence_only_if_a_replica_received_it(
     #[case] replicated: bool,
     #[case] expected: Option<&str>,
 ) {
@@ -71,7 +71,7 @@
     advance(Duration::from_secs(1)).await;
     let sent = Instant::now();
     group.record_commit(
-        &led_by("a", 0),
+        &usable_leader("a", 0),
         sent,
         Some(LogPosition::new(1, 5)),
         replicated,
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_commit_of_an_earlier_epoch_is_no_evidence_for_the_next() {
+async fn commit_of_an_earlier_epoch_is_no_evidence_for_the_next() {
     let group = group();
     group.apply_initial_leader(Some("a".into()), Some(Instant::now()));
     group.apply_record(
@@ -90,7 +90,7 @@
         Instant::now(),
     );
     group.record_commit(
-        &led_by("a", 0),
+        &usable_leader("a", 0),
         Instant::now(),
         Some(LogPosition::new(1, 5)),
         true,
@@ -99,7 +99,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_fence_stops_writes_at_once_and_reads_when_the_evidence_lapses() {
+async fn fence_stops_writes_immediately_and_reads_when_the_evidence_expires() {
     let group = group();
     group.apply_initial_leader(Some("a".into()), Some(Instant::now()));
     let fencing = record(1, TermPhase::Fencing, None);
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_new_leader_is_used_a_lease_after_the_fence_was_learned_of() {
+async fn new_leader_is_used_one_term_lease_after_learning_of_the_fence() {
     let group = group();
     group.apply_initial_leader(Some("a".into()), Some(Instant::now()));
     let promoting = record(1, TermPhase::Promoting, Some("b"));
@@ -126,12 +126,12 @@
     assert_eq!(writable(&group).as_deref(), Some("b"));
     // It may not have taken the lead yet: it is given writes, which it refuses, no reads.
     assert_eq!(leader(&group, Duration::from_secs(9)), None);
-    group.confirm_leader(&led_by("b", 1));
+    group.confirm_leader(&usable_leader("b", 1));
     assert_eq!(leader(&group, Duration::from_secs(9)).as_deref(), Some("b"));
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_active_leader_is_used_at_once_and_an_older_epoch_never_again() {
+async fn active_leader_is_used_immediately_and_older_epochs_are_ignored() {
     let group = group();
     group.apply_initial_leader(Some("a".into()), Some(Instant::now()));
     let active = record(2, TermPhase::Active, Some("c"));
@@ -145,7 +145,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_watch_that_may_tell_late_is_no_evidence() {
+async fn watch_that_may_be_delayed_is_no_evidence() {
     let group = group();
     let active = record(1, TermPhase::Active, Some("b"));
     group.apply_record(&active, None, Instant::now());
@@ -154,18 +154,18 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_position_told_without_evidence_covers_nothing() {
+async fn position_without_evidence_covers_nothing() {
     let group = group();
     group.apply_initial_leader(Some("a".into()), Some(Instant::now()));
     advance(TERM_LEASE * 2).await;
     let sent = Instant::now();
-    group.record_leader_position(&led_by("a", 0), sent, LogPosition::new(1, 5));
+    group.record_leader_position(&usable_leader("a", 0), sent, LogPosition::new(1, 5));
     assert_eq!(group.covering_position(sent), None);
 }
 
 /// The old leader leads on in the epoch of its fence, and may answer late.
 #[tokio::test(start_paused = true)]
-async fn a_position_told_by_the_old_leader_covers_nothing_once_another_is_chosen() {
+async fn position_of_the_old_leader_covers_nothing_once_another_is_chosen() {
     let group = group();
     group.apply_initial_leader(Some("a".into()), Some(Instant::now()));
     let fencing = record(1, TermPhase::Fencing, None);
@@ -177,15 +177,19 @@
     group.apply_record(&active, Some(Instant::now()), Instant::now());
     group.record_leader_position(&old, sent, LogPosition::new(1, 5));
     assert_eq!(group.covering_position(sent), None);
-    group.record_leader_position(&led_by("b", 1), sent, LogPosition::new(2, 6));
+    group.record_leader_position(&usable_leader("b", 1), sent, LogPosition::new(2, 6));
     assert_eq!(group.covering_position(sent), Some(LogPosition::new(2, 6)));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lower_position_can_not_cover_a_later_moment() {
+async fn lower_position_cannot_cover_a_later_moment() {
     let group = group();
     group.apply_initial_leader(Some("a".into()), Some(Instant::now()));
-    group.record_leader_position(&led_by("a", 0), Instant::now(), LogPosition::new(1, 255));
+    group.record_leader_position(
+        &usable_leader("a", 0),
+        Instant::now(),
+        LogPosition::new(1, 255),
+    );
     advance(Duration::from_millis(200)).await;
     let later = Instant::now();
     group.record_covering_position(later, LogPosition::new(1, 231));
--- a/crates/engine/tests/choice.rs
+++ b/crates/engine/tests/choice.rs
@@ -76,10 +76,10 @@
 }
 
 fn choose_from(members: &[SurveyedMember], sync_replicas: usize) -> Result<String, Obstacle> {
-    choose_knowing(members, sync_replicas, None)
+    choose_with_known_position(members, sync_replicas, None)
 }
 
-fn choose_knowing(
+fn choose_with_known_position(
     members: &[SurveyedMember],
     sync_replicas: usize,
     known: Option<LogPosition>,
@@ -112,8 +112,8 @@
 
 /// The old leader is `a`.
 #[rstest]
-#[case::the_longest_log([silent(), paused(5), paused(7)], Ok("c".to_owned()))]
-#[case::of_a_crashed_leader([down(), paused(8), paused(7)], Ok("b".to_owned()))]
+#[case::longest_log([silent(), paused(5), paused(7)], Ok("c".to_owned()))]
+#[case::longest_log_after_a_leader_crash([down(), paused(8), paused(7)], Ok("b".to_owned()))]
 #[case::one_replica_is_silent([silent(), paused(5), silent()], not_fenced("c"))]
 #[case::one_replica_is_down([silent(), paused(5), down()], may_hold_more("c"))]
 #[case::one_replica_is_full([silent(), paused(5), declined()], not_fenced("c"))]
@@ -124,7 +124,7 @@
 #[case::nobody_else_answers([demoted(9), silent(), silent()], Ok("a".to_owned()))]
 #[case::nobody_answers([silent(), silent(), silent()], not_fenced("b"))]
 #[case::all_others_are_down([silent(), down(), down()], Err(Obstacle::NoCandidate))]
-fn the_member_that_holds_every_acknowledged_commit_is_chosen(
+fn member_with_every_acknowledged_commit_is_chosen(
     #[case] responses: [Response; 3],
     #[case] expected: Result<String, Obstacle>,
 ) {
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn without_a_synchronous_replica_the_longest_log_at_hand_is_taken() {
+fn longest_reported_log_is_chosen_without_synchronous_replicas() {
     assert_eq!(
         choose([silent(), paused(5), silent()], 0),
         Ok("b".to_owned())
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn of_equal_logs_one_is_taken_that_stays() {
+fn among_equal_logs_a_member_that_is_not_leaving_is_chosen() {
     let since = Instant::now();
     let members = [
         surveyed("a", MemberState::Ready, silent()),
@@ -151,10 +151,10 @@
 }
 
 #[rstest]
-#[case::a_moment_ago(Duration::from_secs(1), may_hold_more("d"))]
+#[case::recently(Duration::from_secs(1), may_hold_more("d"))]
 #[case::long_ago(Duration::from_secs(11), Ok("c".to_owned()))]
 #[tokio::test(start_paused = true)]
-async fn a_member_that_has_gone_and_is_down_is_waited_for_a_while(
+async fn gone_member_that_is_down_blocks_the_choice_for_a_limited_time(
     #[case] ago: Duration,
     #[case] expected: Result<String, Obstacle>,
 ) {
@@ -173,7 +173,7 @@
 #[case::the_others_have_as_much(7, Ok("c".to_owned()))]
 #[case::the_leader_had_more(8, may_hold_more("d"))]
 #[tokio::test(start_paused = true)]
-async fn a_member_that_has_left_took_its_log_along(
+async fn log_of_a_gone_member_counts_as_missing(
     #[case] known: u64,
     #[case] expected: Result<String, Obstacle>,
 ) {
@@ -186,11 +186,11 @@
         surveyed("d", MemberState::Gone(Departure::at(since)), down()),
     ];
     let known = Some(LogPosition::new(1, known));
-    assert_eq!(choose_knowing(&members, 1, known), expected);
+    assert_eq!(choose_with_known_position(&members, 1, known), expected);
 }
 
 #[test]
-fn a_server_in_the_old_leaders_place_is_the_old_leader() {
+fn server_at_the_old_leaders_address_counts_as_the_old_leader() {
     let mut renamed = surveyed("x", MemberState::Ready, demoted(9));
     let mut member = Member::clone(&renamed.member);
     member.address = address("a");
@@ -204,26 +204,29 @@
 }
 
 #[rstest]
-#[case::nobody_told(vec![], 1)]
+#[case::no_reports(vec![], 1)]
 #[case::above_every_term(vec![report(Role::Primary, 5, 0), report(Role::Replica, 5, 0)], 2)]
-#[case::a_fence_that_was_begun(vec![report(Role::Primary, 5, 0), report(Role::Replica, 5, 4)], 4)]
-fn a_fence_is_in_the_name_of_a_term_that_all_heed(#[case] told: Vec<Response>, #[case] term: u64) {
-    let members: Vec<SurveyedMember> = told
+#[case::fence_already_started(vec![report(Role::Primary, 5, 0), report(Role::Replica, 5, 4)], 4)]
+fn fencing_term_is_newer_than_every_reported_term(
+    #[case] reports: Vec<Response>,
+    #[case] term: u64,
+) {
+    let members: Vec<SurveyedMember> = reports
         .into_iter()
         .map(|response| surveyed("b", MemberState::Ready, response))
         .collect();
     assert_eq!(fencing_term(&members), term);
 }
 
-fn in_life(name: &str, response: Response) -> SurveyedMember {
+fn incarnation(name: &str, response: Response) -> SurveyedMember {
     let mut known = surveyed(name, MemberState::Ready, response);
     let member = Arc::make_mut(&mut known.member);
     member.address = address(&name[..1]);
     known
 }
 
-fn ended(name: &str) -> SurveyedMember {
-    let mut known = in_life(name, Response::RestartedEmpty);
+fn ended_incarnation(name: &str) -> SurveyedMember {
+    let mut known = incarnation(name, Response::RestartedEmpty);
     let departure = Departure::at(Instant::now());
     Arc::make_mut(&mut known.member).state = MemberState::Gone(departure);
     known
@@ -238,7 +241,7 @@
 #[case::the_leader_has_less_than_a_replica([demoted(4), paused(5), silent()], None, not_fenced("c"))]
 #[case::the_leader_has_less_than_is_known([demoted(6), paused(5), silent()], Some(8), not_fenced("c"))]
 #[case::nobody_has_anything([demoted(0), paused(0), paused(0)], None, Ok("c".to_owned()))]
-fn a_log_that_cant_be_the_old_leaders_proves_nothing(
+fn log_that_cannot_be_the_old_leaders_proves_nothing(
     #[case] responses: [Response; 3],
     #[case] known: Option<u64>,
     #[case] expected: Result<String, Obstacle>,
@@ -248,17 +251,17 @@
         .map(|(name, response)| surveyed(name, MemberState::Ready, response))
         .collect();
     let known = known.map(|number| LogPosition::new(1, number));
-    assert_eq!(choose_knowing(&members, 1, known), expected);
+    assert_eq!(choose_with_known_position(&members, 1, known), expected);
 }
 
 /// The old leader is `a`, of whose server a later life answers.
 #[rstest]
 #[case::and_is_empty(demoted(0))]
 #[case::and_has_received_from_another(demoted(9))]
-fn a_later_life_of_the_old_leader_has_not_its_log(#[case] response: Response) {
+fn later_incarnation_of_the_old_leader_does_not_have_its_log(#[case] response: Response) {
     let members = [
-        ended("a"),
-        in_life("a@2", response),
+        ended_incarnation("a"),
+        incarnation("a@2", response),
         surveyed("b", MemberState::Ready, paused(5)),
         surveyed("c", MemberState::Ready, silent()),
     ];
@@ -270,7 +273,7 @@
 #[case::and_the_other_lacks_some([silent(), paused(5)], Some(7), may_hold_more("c"))]
 #[case::and_the_other_has_all([silent(), paused(7)], Some(7), Ok("b".to_owned()))]
 #[case::and_the_leader_has_less([demoted(5), paused(5)], Some(7), may_hold_more("c"))]
-fn what_a_life_that_has_ended_may_have_held_is_asked_of_the_others(
+fn commits_of_an_ended_incarnation_must_be_held_by_other_members(
     #[case] responses: [Response; 2],
     #[case] known: Option<u64>,
     #[case] expected: Result<String, Obstacle>,
@@ -279,11 +282,11 @@
     let members = [
         surveyed("a", MemberState::Ready, leader),
         surveyed("b", MemberState::Ready, other),
-        ended("c"),
-        in_life("c@2", paused(0)),
+        ended_incarnation("c"),
+        incarnation("c@2", paused(0)),
     ];
     let known = known.map(|number| LogPosition::new(1, number));
-    assert_eq!(choose_knowing(&members, 1, known), expected);
+    assert_eq!(choose_with_known_position(&members, 1, known), expected);
 }
 
 /// The old leader is `a`, and one of its two replicas is not known.
@@ -292,7 +295,7 @@
 #[case::the_leader_is_down(down(), Err(Obstacle::TooFewKnown))]
 #[case::the_other_has_the_leaders_log(demoted(5), Ok("b".to_owned()))]
 #[case::the_leader_has_more(demoted(9), Ok("a".to_owned()))]
-fn a_replica_that_nobody_knows_may_hold_more(
+fn unknown_replica_may_hold_more_commits(
     #[case] leader: Response,
     #[case] expected: Result<String, Obstacle>,
 ) {
--- a/crates/engine/tests/events.rs
+++ b/crates/engine/tests/events.rs
@@ -119,7 +119,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn failures_keep_their_room_while_successes_are_many() {
+async fn many_successes_do_not_use_up_the_budget_of_failures() {
     let log = EventLog::default();
     let mut written = 0;
     for _ in 0..10_000 {
--- a/crates/engine/tests/feeds.rs
+++ b/crates/engine/tests/feeds.rs
@@ -10,10 +10,10 @@
 /// waits are shorter, so that a call which is never answered is noticed in time by all.
 #[rstest]
 #[case::one_process(1, 1_600)]
-#[case::the_first_deployment(6, 1_600)]
+#[case::small_fleet(6, 1_600)]
 #[case::a_large_fleet(20, 1_200)]
 #[tokio::test(start_paused = true)]
-async fn a_call_for_changes_is_short(#[case] processes: usize, #[case] expected_ms: u64) {
+async fn watch_timeout_depends_on_fleet_size(#[case] processes: usize, #[case] expected_ms: u64) {
     let fleet = Fleet::start(processes).await;
     let engine = &fleet.nodes[0].engine;
     until(|| engine.homes().fleet_len() == processes).await;
--- a/crates/engine/tests/fleet_start.rs
+++ b/crates/engine/tests/fleet_start.rs
@@ -15,16 +15,16 @@
 const ZONES: &[&str] = &["zone-a", "zone-b", "zone-c", "zone-d", "zone-e"];
 /// Processes that may read whole tables: the first two of all, the holder of the lease, and two of
 /// each zone while the fleet is not known.
-const READERS: u64 = 13;
+const MAX_FULL_READS: u64 = 13;
 /// Calls of the store for each process in a start: of its index and records, and the writing of
 /// its own, with room for one that is done again.
-const CALLS: u64 = 6;
+const MAX_CALLS_PER_PROCESS: u64 = 6;
 /// Groups that the processes of a large fleet are told of, of three members each.
 const GROUPS: usize = 300;
 /// Bytes a second of a follower whose ten askers wait some seconds for what it tells them.
-const SLOW_LINK: u64 = 1_000_000;
+const SLOW_SEND_RATE: u64 = 1_000_000;
 /// Time from a start of all until each process serves.
-const SERVING_WITHIN: Duration = Duration::from_secs(4);
+const MAX_START_TIME: Duration = Duration::from_secs(4);
 
 fn knows_fleet(node: &Node) -> bool {
     node.engine.processes() == PROCESSES && node.engine.terms().has_read()
@@ -51,7 +51,7 @@
     }
     until_known(fleet).await;
     let (calls, whole) = cost(fleet, before);
-    assert!(whole <= READERS, "{whole}");
+    assert!(whole <= MAX_FULL_READS, "{whole}");
     assert!(calls <= 3 * PROCESSES as u64, "{calls}");
 }
 
@@ -65,16 +65,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_new_fleet_reads_whole_tables_at_a_few_processes_only() {
+async fn only_a_few_processes_of_a_new_fleet_read_whole_tables() {
     let fleet = Fleet::start_in(ZONES, PROCESSES).await;
     until_known(&fleet).await;
     let (calls, whole) = cost(&fleet, (0, 0));
-    assert!(whole <= READERS, "{whole}");
-    assert!(calls <= CALLS * PROCESSES as u64, "{calls}");
+    assert!(whole <= MAX_FULL_READS, "{whole}");
+    assert!(calls <= MAX_CALLS_PER_PROCESS * PROCESSES as u64, "{calls}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_fleet_that_starts_again_asks_the_few_that_its_index_lists() {
+async fn restarted_fleet_asks_the_processes_listed_in_its_index() {
     let mut fleet = Fleet::start_in(ZONES, PROCESSES).await;
     until_known(&fleet).await;
     until(|| fleet.records.get("fleet").is_some()).await;
@@ -83,26 +83,29 @@
     let began = Instant::now();
     restart_all(&mut fleet).await;
     until_all_serve(&fleet).await;
-    assert!(began.elapsed() < SERVING_WITHIN, "{:?}", began.elapsed());
+    assert!(began.elapsed() < MAX_START_TIME, "{:?}", began.elapsed());
 }
 
 /// What a process that starts is told takes its follower's link longer than an answer is waited
 /// for, as so many are told at once.
 #[tokio::test(start_paused = true)]
-async fn a_fleet_that_starts_again_over_slow_links_does_not_turn_to_the_store() {
+async fn fleet_restarted_over_slow_links_does_not_fall_back_to_the_store() {
     let mut fleet = Fleet::start_in(ZONES, PROCESSES).await;
     until_known(&fleet).await;
     *fleet.world.other_members.lock().unwrap() = members_of_groups(GROUPS).collect();
     fleet.configuration.send_replace(with_groups(2, GROUPS));
     until(|| fleet.records.get("fleet").is_some()).await;
     sleep(Duration::from_secs(5)).await;
-    fleet.peers.send_rate.store(SLOW_LINK, Ordering::Relaxed);
+    fleet
+        .peers
+        .send_rate
+        .store(SLOW_SEND_RATE, Ordering::Relaxed);
     restart_all(&mut fleet).await;
 }
 
 /// Those that the index lists have all gone for good.
 #[tokio::test(start_paused = true)]
-async fn a_process_that_finds_nobody_of_the_index_goes_to_the_store() {
+async fn process_that_reaches_none_of_the_index_falls_back_to_the_store() {
     let mut fleet = Fleet::start_in(ZONES, PROCESSES).await;
     until_known(&fleet).await;
     sleep(Duration::from_secs(3)).await;
@@ -110,12 +113,12 @@
     let late = fleet.spawn_node("node-104");
     let began = Instant::now();
     until(|| late.engine.terms().has_read()).await;
-    assert!(began.elapsed() < SERVING_WITHIN, "{:?}", began.elapsed());
+    assert!(began.elapsed() < MAX_START_TIME, "{:?}", began.elapsed());
     assert!(late.engine.processes() > 16);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_single_process_that_starts_costs_the_store_two_calls() {
+async fn restart_of_a_single_process_reads_no_whole_tables() {
     let mut fleet = Fleet::start_in(ZONES, PROCESSES).await;
     until_known(&fleet).await;
     sleep(Duration::from_secs(3)).await;
--- a/crates/engine/tests/following.rs
+++ b/crates/engine/tests/following.rs
@@ -22,13 +22,13 @@
 /// Processes of a larger one.
 const LARGE: usize = 200;
 /// Time within which a removed credential must be refused.
-const REVOCATION: Duration = Duration::from_secs(5);
+const REVOCATION_BOUND: Duration = Duration::from_secs(5);
 /// Greatest age of a proof while somebody who follows the store is reached.
-const PROOF_AGE: Duration = Duration::from_millis(2_500);
+const MAX_PROOF_AGE: Duration = Duration::from_millis(2_500);
 /// Longest time after the cut in which a caller of a process that is not cut may be refused.
-const GAP: Duration = Duration::from_millis(1_500);
+const MAX_GAP: Duration = Duration::from_millis(1_500);
 /// Interval in which all are looked at.
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 fn credential() -> Credential {
     Credential::from_key(b"key-1")
@@ -58,7 +58,7 @@
 
 async fn fleet_of(nodes: usize) -> Fleet {
     let policy = TenantPolicy {
-        revocation: REVOCATION,
+        revocation: REVOCATION_BOUND,
         rates: None,
     };
     let fleet = Fleet::start_with(ZONES, nodes, Some(policy)).await;
@@ -103,13 +103,13 @@
         }
     }
 
-    fn is_any(&self, place: usize) -> bool {
+    fn has_role(&self, place: usize) -> bool {
         self.roots.contains(&place) || self.followers.contains(&place) || place == self.holder
     }
 }
 
 /// Cuts `one` of the fleet from the rest of it; the servers stay in reach.
-fn split(fleet: &Fleet, one: &HashSet<usize>) {
+fn partition(fleet: &Fleet, one: &HashSet<usize>) {
     for here in one {
         for there in (0..fleet.nodes.len()).filter(|place| !one.contains(place)) {
             let (here, there) = (&fleet.nodes[*here].name, &fleet.nodes[there].name);
@@ -130,7 +130,7 @@
     while Instant::now() < until {
         let ages = places.iter().map(|place| proof_age(&fleet.nodes[*place]));
         oldest = oldest.max(ages.max().unwrap_or_default());
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
     oldest
 }
@@ -151,7 +151,7 @@
 /// those that follow the store, of those that others ask, and the holder of the lease.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn a_third_of_the_fleet_may_be_cut(
+async fn proofs_stay_recent_when_a_third_of_the_fleet_is_cut_off(
     #[values(0, 1, 2)] roots: usize,
     #[values(0, 2, 4)] followers: usize,
     #[values(false, true)] holder: bool,
@@ -162,53 +162,56 @@
     let mut cut: HashSet<usize> = roles.roots.iter().take(roots).copied().collect();
     cut.extend(others.take(followers));
     cut.extend(holder.then_some(roles.holder));
-    let bystanders = (0..NODES).filter(|place| !roles.is_any(*place));
+    let bystanders = (0..NODES).filter(|place| !roles.has_role(*place));
     let missing = (NODES / 3).saturating_sub(cut.len());
     cut.extend(bystanders.take(missing));
     let left: Vec<usize> = (0..NODES).filter(|place| !cut.contains(place)).collect();
-    split(&fleet, &cut);
+    partition(&fleet, &cut);
     for place in &cut {
         fleet.records.ignore_node(&fleet.nodes[*place].name);
     }
     let began = Instant::now();
     let oldest = oldest_proof(&fleet, &left, Duration::from_secs(8)).await;
-    assert!(oldest < PROOF_AGE, "a proof was {oldest:?} old");
-    assert!(began.elapsed() > GAP);
+    assert!(oldest < MAX_PROOF_AGE, "a proof was {oldest:?} old");
+    assert!(began.elapsed() > MAX_GAP);
     assert_eq!(refusals(&fleet, &left).await, Vec::new());
 }
 
 /// The store answers only some processes that nobody asks, and all that are asked stand on the
 /// other side of a split.
 #[tokio::test(start_paused = true)]
-async fn one_side_of_a_split_learns_from_whoever_knows() {
+async fn side_of_a_partition_learns_from_any_informed_process() {
     let fleet = fleet().await;
     let roles = Roles::of(&fleet);
-    let side: Vec<usize> = (0..NODES).filter(|place| !roles.is_any(*place)).collect();
+    let side: Vec<usize> = (0..NODES).filter(|place| !roles.has_role(*place)).collect();
     let here: HashSet<usize> = side.iter().copied().collect();
     let informed = &side[..side.len() / 3];
-    split(&fleet, &here);
+    partition(&fleet, &here);
     let uninformed = (0..NODES).filter(|place| !informed.contains(place));
     for place in uninformed {
         fleet.records.refuse_node(&fleet.nodes[place].name, true);
     }
-    sleep(GAP).await;
+    sleep(MAX_GAP).await;
     let oldest = oldest_proof(&fleet, &side, Duration::from_secs(12)).await;
-    assert!(oldest < REVOCATION, "a proof was {oldest:?} old");
+    assert!(oldest < REVOCATION_BOUND, "a proof was {oldest:?} old");
     let reasons = refusals(&fleet, &side).await;
     assert!(!reasons.contains(&FailureReason::ConfigurationOutdated));
     // The others know nothing until the network is whole again, and then soon.
     fleet.network().heal();
-    sleep(GAP).await;
+    sleep(MAX_GAP).await;
     let oldest = fleet.nodes.iter().map(proof_age).max();
-    assert!(oldest < Some(REVOCATION), "a proof was {oldest:?} old");
+    assert!(
+        oldest < Some(REVOCATION_BOUND),
+        "a proof was {oldest:?} old"
+    );
 }
 
 /// The store goes silent to a third of the fleet, those that follow it among them.
 #[tokio::test(start_paused = true)]
-async fn the_store_may_be_silent_to_a_third() {
+async fn proofs_stay_recent_when_the_store_ignores_a_third_of_the_fleet() {
     let fleet = fleet().await;
     let roles = Roles::of(&fleet);
-    let bystanders = (0..NODES).filter(|place| !roles.is_any(*place));
+    let bystanders = (0..NODES).filter(|place| !roles.has_role(*place));
     let mut ignored: HashSet<usize> = roles.roots.iter().copied().collect();
     ignored.extend(bystanders.take(NODES / 3 - ignored.len()));
     for place in &ignored {
@@ -216,18 +219,18 @@
     }
     let all: Vec<usize> = (0..NODES).collect();
     let oldest = oldest_proof(&fleet, &all, Duration::from_secs(10)).await;
-    assert!(oldest < REVOCATION, "a proof was {oldest:?} old");
+    assert!(oldest < REVOCATION_BOUND, "a proof was {oldest:?} old");
     assert_eq!(refusals(&fleet, &all).await, Vec::new());
 }
 
 /// A process that is cut goes on without a source; the store is not asked more by the others
 /// than by those that take its place.
 #[tokio::test(start_paused = true)]
-async fn few_turn_to_the_store_in_place_of_those_that_are_cut() {
+async fn few_processes_replace_cut_off_relays_at_the_store() {
     let fleet = fleet().await;
     let roles = Roles::of(&fleet);
     let cut: HashSet<usize> = roles.roots.iter().copied().collect();
-    split(&fleet, &cut);
+    partition(&fleet, &cut);
     for place in &cut {
         fleet.records.ignore_node(&fleet.nodes[*place].name);
     }
@@ -236,24 +239,24 @@
     let left = (0..NODES).filter(|place| !cut.contains(place));
     let direct: HashSet<usize> = left.filter(is_direct).collect();
     let allowed: HashSet<usize> = roles.followers.iter().copied().collect();
-    let strangers: Vec<&usize> = direct
+    let unexpected: Vec<&usize> = direct
         .difference(&allowed)
         .filter(|p| **p != roles.holder)
         .collect();
-    assert!(strangers.len() <= 1, "{strangers:?}");
+    assert!(unexpected.len() <= 1, "{unexpected:?}");
     assert!(!direct.is_empty());
 }
 
 /// Hundreds of processes that lose a third of the fleet at once ask hardly more than is answered:
 /// what asks again and again is a load of its own.
 #[tokio::test(start_paused = true)]
-async fn questions_are_not_asked_again_and_again() {
+async fn update_requests_are_not_repeated_excessively() {
     let fleet = fleet_of(LARGE).await;
     let roles = Roles::of(&fleet);
-    let bystanders = (0..LARGE).filter(|place| !roles.is_any(*place));
+    let bystanders = (0..LARGE).filter(|place| !roles.has_role(*place));
     let mut cut: HashSet<usize> = roles.roots.iter().copied().collect();
     cut.extend(bystanders.take(LARGE / 3 - cut.len()));
-    split(&fleet, &cut);
+    partition(&fleet, &cut);
     for place in &cut {
         fleet.records.ignore_node(&fleet.nodes[*place].name);
     }
@@ -274,7 +277,7 @@
 /// All processes end and start anew at once: each knows the configuration and whom to ask within
 /// the bound, and reads each table in whole once at the most.
 #[tokio::test(start_paused = true)]
-async fn a_restart_of_all_is_over_soon() {
+async fn simultaneous_restart_of_all_processes_is_fast() {
     let mut fleet = fleet().await;
     let reads = fleet.records.full_reads();
     (0..NODES).for_each(|place| fleet.kill(place));
@@ -288,6 +291,6 @@
         proof.is_some() && engine.homes().fleet_len() == NODES
     };
     until(|| fleet.nodes.iter().all(knows)).await;
-    assert!(began.elapsed() < GAP, "{:?}", began.elapsed());
+    assert!(began.elapsed() < MAX_GAP, "{:?}", began.elapsed());
     assert!(fleet.records.full_reads() - reads <= NODES as u64);
 }
--- a/crates/engine/tests/leader_change.rs
+++ b/crates/engine/tests/leader_change.rs
@@ -13,11 +13,11 @@
 const LARGE: usize = 21;
 /// Time until the lease has another holder once its holder is lost: it lasts for 1.3 s, and a
 /// candidate or two may be lost too.
-const AFTER_LOSS: Duration = Duration::from_millis(1_500);
+const MAX_AFTER_LOSS: Duration = Duration::from_millis(1_500);
 /// The same where the holder stops while a renewal is under way, which nobody is told of.
-const AFTER_RENEWAL: Duration = Duration::from_millis(1_950);
+const MAX_AFTER_LOSS_DURING_RENEWAL: Duration = Duration::from_millis(1_950);
 /// The same once its holder has left.
-const AFTER_LEAVING: Duration = Duration::from_millis(150);
+const MAX_AFTER_LEAVING: Duration = Duration::from_millis(150);
 
 /// A fleet whose processes know one another and have linked up.
 async fn fleet() -> Fleet {
@@ -57,7 +57,7 @@
 #[case::frozen(Loss::Frozen)]
 #[case::cut_off(Loss::CutOff)]
 #[tokio::test(start_paused = true)]
-async fn a_lost_holder_has_a_successor_as_soon_as_its_lease_has_lapsed(
+async fn lost_holder_is_succeeded_when_its_lease_expires(
     #[case] loss: Loss,
     #[values(0, 110, 220, 470, 930)] phase_ms: u64,
 ) {
@@ -75,30 +75,28 @@
         }
     }
     let took = until_another_holds(&fleet, lost).await;
-    let most = match loss {
-        Loss::Frozen => AFTER_RENEWAL,
-        Loss::Killed | Loss::CutOff => AFTER_LOSS,
+    let limit = match loss {
+        Loss::Frozen => MAX_AFTER_LOSS_DURING_RENEWAL,
+        Loss::Killed | Loss::CutOff => MAX_AFTER_LOSS,
     };
-    assert!(took <= most, "{took:?}");
+    assert!(took <= limit, "{took:?}");
 }
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_leaves_has_a_successor_at_once(
-    #[values(0, 110, 220, 470, 930)] phase_ms: u64,
-) {
+async fn leaving_holder_is_succeeded_immediately(#[values(0, 110, 220, 470, 930)] phase_ms: u64) {
     let fleet = fleet().await;
     sleep(Duration::from_millis(phase_ms)).await;
     let left = holder(&fleet);
     fleet.nodes[left].engine.advance_stop(StopPhase::Leaving);
     let took = until_another_holds(&fleet, left).await;
-    assert!(took <= AFTER_LEAVING, "{took:?}");
+    assert!(took <= MAX_AFTER_LEAVING, "{took:?}");
 }
 
 /// A zone is lost with the holder and the candidates that stand there: one of the others takes
 /// the lease in its turn.
 #[tokio::test(start_paused = true)]
-async fn a_lost_zone_costs_turns_only() {
+async fn losing_a_zone_delays_succession_only_by_rank_delays() {
     let mut fleet = fleet().await;
     let lost = holder(&fleet);
     let zone = lost % ZONES.len();
@@ -106,12 +104,12 @@
         fleet.kill(node);
     }
     let took = until_another_holds(&fleet, lost).await;
-    assert!(took <= AFTER_LOSS, "{took:?}");
+    assert!(took <= MAX_AFTER_LOSS, "{took:?}");
 }
 
 /// A candidate whom nobody tells of the lease finds out by itself, as the store has it.
 #[tokio::test(start_paused = true)]
-async fn candidates_that_are_not_told_read_the_lease() {
+async fn candidates_without_announcements_read_the_lease_from_the_store() {
     let mut fleet = fleet().await;
     fleet.peers.set_isolated(true);
     sleep(Duration::from_secs(3)).await;
--- a/crates/engine/tests/leadership.rs
+++ b/crates/engine/tests/leadership.rs
@@ -50,11 +50,11 @@
     fleet.world.crash("a");
 }
 
-fn go_dark(fleet: &Fleet) {
+fn stop_responding(fleet: &Fleet) {
     fleet.world.change("a", |server| server.unresponsive = true);
 }
 
-fn leave(fleet: &Fleet) {
+fn start_leaving(fleet: &Fleet) {
     let state = MemberState::Leaving(Departure::at(Instant::now()));
     fleet.world.change("a", |server| server.state = state);
 }
@@ -72,12 +72,12 @@
 
 #[rstest]
 #[case::crashed(crash)]
-#[case::unresponsive(go_dark)]
-#[case::leaving(leave)]
+#[case::unresponsive(stop_responding)]
+#[case::leaving(start_leaving)]
 #[case::cut_from_all_processes(cut_from_all_processes)]
 #[case::cut_from_its_replicas(cut_from_replicas)]
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_is_lost_is_replaced_and_every_commit_kept(#[case] fault: fn(&Fleet)) {
+async fn lost_leader_is_replaced_without_losing_commits(#[case] fault: fn(&Fleet)) {
     let fleet = Fleet::start(3).await;
     write(&fleet, 5).await;
     fault(&fleet);
@@ -95,7 +95,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_has_received_less_is_not_promoted() {
+async fn replica_that_is_behind_is_not_promoted() {
     let fleet = Fleet::start(2).await;
     fleet
         .world
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn nobody_is_promoted_while_a_replica_that_may_hold_more_is_away() {
+async fn no_promotion_while_a_replica_that_may_hold_more_commits_is_unreachable() {
     let fleet = Fleet::start(2).await;
     fleet
         .world
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn replicas_are_paused_before_the_order_and_receive_after_it() {
+async fn replicas_are_paused_before_the_promotion_order_and_resume_after_it() {
     let fleet = Fleet::start(2).await;
     write(&fleet, 3).await;
     cut_from_all_processes(&fleet);
@@ -158,7 +158,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_old_leader_gets_no_commit_acknowledged_after_the_order() {
+async fn old_leader_gets_no_commit_acknowledged_after_the_promotion_order() {
     let fleet = Fleet::start(2).await;
     write(&fleet, 3).await;
     fleet.network().cut("node-1", "a");
@@ -180,10 +180,10 @@
 }
 
 #[rstest]
-#[case::as_the_fence_is_recorded(TermPhase::Fencing)]
-#[case::as_the_target_is_recorded(TermPhase::Promoting)]
+#[case::after_recording_the_fence(TermPhase::Fencing)]
+#[case::after_recording_the_target(TermPhase::Promoting)]
 #[tokio::test(start_paused = true)]
-async fn what_one_holder_began_the_next_completes(#[case] phase: TermPhase) {
+async fn next_lease_holder_completes_an_unfinished_promotion(#[case] phase: TermPhase) {
     let mut fleet = Fleet::start(3).await;
     write(&fleet, 5).await;
     fleet.world.crash("a");
@@ -208,7 +208,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_dies_with_the_leader_is_followed_although_others_report() {
+async fn leader_is_replaced_when_the_lease_holder_fails_with_it() {
     let mut fleet = Fleet::start(4).await;
     write(&fleet, 2).await;
     let holder = fleet.holder();
@@ -225,11 +225,11 @@
 }
 
 #[rstest]
-#[case::it_loses_answers(Fault::LosingAnswers, false)]
-#[case::it_refuses(Fault::Refusing, true)]
-#[case::it_is_silent(Fault::Silent, true)]
+#[case::store_loses_answers(Fault::LosingAnswers, false)]
+#[case::store_refuses(Fault::Refusing, true)]
+#[case::store_does_not_answer(Fault::Silent, true)]
 #[tokio::test(start_paused = true)]
-async fn a_promotion_outlasts_the_stores_faults(#[case] fault: Fault, #[case] stops: bool) {
+async fn promotion_completes_after_store_faults(#[case] fault: Fault, #[case] stops: bool) {
     let fleet = Fleet::start(2).await;
     write(&fleet, 5).await;
     fleet.records.set_fault(fault);
@@ -243,7 +243,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_target_that_dies_is_given_up_for_another() {
+async fn crashed_promotion_target_is_replaced_by_another() {
     let fleet = Fleet::start(2).await;
     write(&fleet, 5).await;
     fleet.world.crash("a");
@@ -259,19 +259,19 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_last_member_is_not_promoted_again_and_again() {
+async fn last_member_is_not_promoted_repeatedly() {
     let fleet = Fleet::start(2).await;
     write(&fleet, 2).await;
     fleet.world.crash("b");
     fleet.world.crash("c");
     let mut client = fleet.session(0, LEADER_DATABASE);
-    let mut promised = 0;
+    let mut refused_not_run = 0;
     for _ in 0..20 {
         let failure = client.write("x 1").await.outcome.expect_err("no replica");
-        promised += usize::from(failure.reason == FailureReason::NoReplica);
+        refused_not_run += usize::from(failure.reason == FailureReason::NoReplica);
     }
     // Once the stall is known, writes are refused unrun, and transactions rolled back.
-    assert!(promised >= 15, "{promised}");
+    assert!(refused_not_run >= 15, "{refused_not_run}");
     client.begin(false).await;
     assert!(client.write("x 1").await.outcome.is_ok());
     let failure = client.commit().await.outcome.expect_err("no replica");
@@ -283,7 +283,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_takes_no_more_connections_is_not_suspected() {
+async fn leader_that_refuses_new_connections_is_not_suspected() {
     let fleet = Fleet::start(2).await;
     write(&fleet, 2).await;
     // Idle connections end after a while; new ones are refused.
@@ -308,7 +308,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn orders_carry_the_holder_and_a_number_that_never_falls() {
+async fn promotion_orders_carry_the_holder_and_nondecreasing_fencing_numbers() {
     let mut fleet = Fleet::start(3).await;
     write(&fleet, 1).await;
     for _ in 0..3 {
@@ -337,7 +337,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_process_cut_from_the_store_goes_on_and_follows_once_it_is_back() {
+async fn process_without_the_store_continues_and_catches_up_on_reconnect() {
     let fleet = Fleet::start(3).await;
     write(&fleet, 2).await;
     fleet.records.refuse_node("node-2", true);
@@ -357,7 +357,7 @@
 /// All processes end while the leader and a replica are away and their entries have gone:
 /// those that begin then must not take the member that is left for the only one.
 #[tokio::test(start_paused = true)]
-async fn members_that_are_away_are_known_after_all_processes_were_replaced() {
+async fn absent_members_are_remembered_after_all_processes_are_replaced() {
     let mut fleet = Fleet::start(2).await;
     write(&fleet, 3).await;
     fleet
@@ -399,7 +399,7 @@
 /// Commits that are acknowledged late bring evidence that is too old, one after the other.
 /// They do not keep a read from asking for newer evidence.
 #[tokio::test(start_paused = true)]
-async fn old_evidence_does_not_hold_up_the_asking_for_new() {
+async fn old_evidence_does_not_delay_the_search_for_new_evidence() {
     let fleet = Fleet::start(1).await;
     let engine = Arc::clone(&fleet.nodes[0].engine);
     let group = engine.group(&Arc::from(GROUP));
@@ -425,10 +425,10 @@
 /// Entries may go away because the store takes too few of them, and come back: a leader that
 /// answers as one is kept meanwhile, and replaced in time if it has really left.
 #[rstest]
-#[case::and_comes_back(true)]
-#[case::and_stays_away(false)]
+#[case::entry_returns(true)]
+#[case::entry_stays_missing(false)]
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_answers_is_kept_while_its_entry_is_away(#[case] comes_back: bool) {
+async fn responding_leader_is_kept_while_its_entry_is_missing(#[case] returns: bool) {
     let fleet = Fleet::start(3).await;
     write(&fleet, 1).await;
     keep_writing(&fleet);
@@ -436,7 +436,7 @@
     hide();
     sleep(Duration::from_millis(2_850)).await;
     assert_eq!(fleet.epoch(0), 0);
-    if comes_back {
+    if returns {
         fleet.world.unlisted.lock().unwrap().remove("a");
         sleep(Duration::from_secs(4)).await;
         assert_eq!(fleet.epoch(0), 0);
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -15,11 +15,11 @@
 const SLOTS: usize = 3;
 const QUEUE: usize = 24;
 /// How many times longer than usual statements run: 20 ms.
-const SLOWNESS: u32 = 5;
+const SLOWDOWN: u32 = 5;
 /// Reads that the three servers can run in a second.
 const CAPACITY: u32 = 450;
 /// How long requests come.
-const LOAD_TIME: Duration = Duration::from_secs(8);
+const LOAD_DURATION: Duration = Duration::from_secs(8);
 /// Time within which an answer counts.
 const OBJECTIVE: Duration = Duration::from_millis(250);
 
@@ -29,13 +29,13 @@
     for name in ["a", "b", "c"] {
         fleet
             .world
-            .change(name, |server| server.slowdown = SLOWNESS);
+            .change(name, |server| server.slowdown = SLOWDOWN);
     }
     fleet
 }
 
 /// Waits for as long as a refused caller is told to.
-async fn come_back(reply: Reply) {
+async fn wait_for_retry(reply: Reply) {
     if let Err(failure) = reply.outcome {
         let wait = failure.retry_after.unwrap_or_default();
         sleep(wait.max(Duration::from_millis(1))).await;
@@ -44,13 +44,13 @@
 
 /// Sends `per_second` reads from sessions of their own; returns how many were answered
 /// within the objective.
-async fn good_reads(per_second: u32) -> usize {
+async fn count_good_reads(per_second: u32) -> usize {
     let fleet = limited_fleet(3).await;
     let good = Arc::new(AtomicUsize::new(0));
     let pause = Duration::from_secs(1) / per_second;
     let began = Instant::now();
     let mut sent = 0;
-    while began.elapsed() < LOAD_TIME {
+    while began.elapsed() < LOAD_DURATION {
         let engine = Arc::clone(&fleet.nodes[sent % 3].engine);
         let good = Arc::clone(&good);
         sent += 1;
@@ -71,8 +71,8 @@
 /// What is answered in time does not fall when more is asked than can be run.
 #[tokio::test(start_paused = true)]
 async fn goodput_holds_at_twice_the_capacity() {
-    let at_capacity = good_reads(CAPACITY * 9 / 10).await;
-    let at_twice = good_reads(CAPACITY * 2).await;
+    let at_capacity = count_good_reads(CAPACITY * 9 / 10).await;
+    let at_twice = count_good_reads(CAPACITY * 2).await;
     assert!(
         at_twice * 10 >= at_capacity * 9,
         "{at_twice} good answers at twice the capacity, {at_capacity} at it"
@@ -81,7 +81,7 @@
 
 /// Load is no reason to take a leader for lost.
 #[tokio::test(start_paused = true)]
-async fn leaders_are_not_suspected_for_being_busy() {
+async fn busy_leaders_are_not_suspected() {
     let fleet = limited_fleet(3).await;
     for node in 0..3 {
         for _ in 0..60 {
@@ -89,7 +89,7 @@
             tokio::spawn(async move {
                 loop {
                     for reply in [client.write("x 1").await, client.read("x").await] {
-                        come_back(reply).await;
+                        wait_for_retry(reply).await;
                     }
                 }
             });
@@ -101,10 +101,10 @@
 
 /// A leader whose queue is full refuses questions too.
 #[rstest]
-#[case::over_a_connection_that_is_open(false)]
-#[case::over_a_new_one(true)]
+#[case::over_an_open_connection(false)]
+#[case::over_a_new_connection(true)]
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_refuses_questions_for_load_is_not_suspected(#[case] closed: bool) {
+async fn leader_that_refuses_status_requests_under_load_is_not_suspected(#[case] closed: bool) {
     let fleet = Fleet::start(2).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     assert!(client.write("x 1").await.outcome.is_ok());
@@ -115,7 +115,7 @@
     }
     fleet.world.change("a", |server| server.queue_full = true);
     for _ in 0..10 {
-        come_back(client.write("x 1").await).await;
+        wait_for_retry(client.write("x 1").await).await;
     }
     assert!(fleet.world.promotions().is_empty());
 }
@@ -125,7 +125,7 @@
 #[case(LEADER_DATABASE)]
 #[case(BOUNDED_DATABASE)]
 #[tokio::test(start_paused = true)]
-async fn a_standing_queue_refuses_early(#[case] database: &'static str) {
+async fn persistent_queue_refuses_requests_early(#[case] database: &'static str) {
     let fleet = limited_fleet(1).await;
     for _ in 0..200 {
         let mut client = fleet.session(0, database);
--- a/crates/engine/tests/peers.rs
+++ b/crates/engine/tests/peers.rs
@@ -31,7 +31,7 @@
     });
 }
 
-async fn until_all_are_known(fleet: &Fleet) {
+async fn until_all_processes_are_known(fleet: &Fleet) {
     let known = || {
         let mut nodes = fleet.nodes.iter();
         nodes.all(|node| node.engine.processes() == fleet.nodes.len())
@@ -42,7 +42,7 @@
 #[tokio::test(start_paused = true)]
 async fn commits_through_one_process_are_evidence_for_another() {
     let fleet = Fleet::start(2).await;
-    until_all_are_known(&fleet).await;
+    until_all_processes_are_known(&fleet).await;
     keep_writing(&fleet, 1);
     fleet.records.set_fault(Fault::Silent);
     sleep(Duration::from_secs(2)).await;
@@ -57,9 +57,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_process_that_the_store_turns_away_learns_of_a_new_leader() {
+async fn process_refused_by_the_store_learns_of_a_new_leader() {
     let fleet = Fleet::start(3).await;
-    until_all_are_known(&fleet).await;
+    until_all_processes_are_known(&fleet).await;
     let holder = fleet.lease().holder;
     let cut = (0..3).find(|index| fleet.nodes[*index].name != holder.as_str());
     let cut = cut.expect("a process without the lease");
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn questions_and_answers_go_over_tcp() {
+async fn queries_work_over_tcp() {
     tokio::time::pause();
     let fleet = Fleet::start(1).await;
     tokio::time::resume();
@@ -99,12 +99,12 @@
     let leader = beliefs[0].leader.as_ref().expect("a leader");
     assert!(leader.confirmed);
     assert!(leader.evidence_age_ms.is_some());
-    let nothing = DeclaredVersions {
+    let no_versions = DeclaredVersions {
         configuration: 0,
         directory: 0,
         evacuations: 0,
     };
-    let state = TcpPeers.query_declared(address, nothing).await;
+    let state = TcpPeers.query_declared(address, no_versions).await;
     let state = state.expect("an answer");
     let expected = engine.configuration().expect("one");
     let whole = DeclaredConfiguration::Whole(expected.as_ref().clone());
@@ -124,7 +124,7 @@
     assert!(TcpPeers.query_groups(address, &groups).await.is_ok());
 }
 
-fn change_of_leader(phase: TermPhase) -> TermRecord {
+fn term_record(phase: TermPhase) -> TermRecord {
     TermRecord {
         group: Arc::from(GROUP),
         epoch: 1,
@@ -141,20 +141,20 @@
 /// What a process knows of the old leader, which is being fenced off, says nothing of the
 /// target, although both belong to one epoch.
 #[tokio::test(start_paused = true)]
-async fn what_is_believed_of_the_old_leader_is_not_taken_for_the_target() {
+async fn knowledge_of_the_old_leader_is_not_applied_to_the_target() {
     let fleet = Fleet::start(2).await;
-    until_all_are_known(&fleet).await;
+    until_all_processes_are_known(&fleet).await;
     let groups = fleet
         .nodes
         .iter()
         .map(|n| n.engine.group(&Arc::from(GROUP)));
     let groups: Vec<_> = groups.collect();
     let now = Instant::now();
-    let fencing = change_of_leader(TermPhase::Fencing);
+    let fencing = term_record(TermPhase::Fencing);
     groups.iter().for_each(|group| {
         group.apply_record(&fencing, Some(now), now);
     });
-    let promoting = change_of_leader(TermPhase::Promoting);
+    let promoting = term_record(TermPhase::Promoting);
     groups[1].apply_record(&promoting, None, now);
     let before = (groups[1].view(), groups[1].evidence());
     query(&fleet.nodes[1].engine, &[Arc::from(GROUP)]).await;
@@ -165,14 +165,14 @@
 /// A process that the store turns away takes newer documents and members from others, and
 /// never older ones.
 #[tokio::test(start_paused = true)]
-async fn what_was_declared_is_learned_from_other_processes() {
+async fn declared_state_is_learned_from_other_processes() {
     let fleet = Fleet::start(2).await;
-    until_all_are_known(&fleet).await;
-    let [knowing, cut] = [&fleet.nodes[0].engine, &fleet.nodes[1].engine];
-    let mut newer = knowing.configuration().expect("one").as_ref().clone();
+    until_all_processes_are_known(&fleet).await;
+    let [informed, cut] = [&fleet.nodes[0].engine, &fleet.nodes[1].engine];
+    let mut newer = informed.configuration().expect("one").as_ref().clone();
     newer.version += 5;
     newer.transaction_idle = None;
-    assert!(knowing.set_configuration(newer.clone()));
+    assert!(informed.set_configuration(newer.clone()));
     let now = Instant::now();
     let leaving = Departure {
         learned_at: now,
@@ -184,7 +184,7 @@
     let known = || cut.directory().member("c").map(|member| member.state);
     let entries = fleet.world.entries();
     let version = cut.directory().version + 1_000_000;
-    knowing.set_directory(knowing.directory().with_entries(version, entries, leaving));
+    informed.set_directory(informed.directory().with_entries(version, entries, leaving));
     declared::query(cut).await;
     assert_eq!(cut.configuration().as_deref(), Some(&newer));
     assert_eq!(cut.directory().version, version);
@@ -193,14 +193,14 @@
     };
     assert!(told.earliest <= leaving.earliest && told.earliest.is_some());
     // Asked the other way round, nothing older is taken.
-    let before = knowing.directory().version;
-    declared::query(knowing).await;
-    assert_eq!(knowing.directory().version, before);
+    let before = informed.directory().version;
+    declared::query(informed).await;
+    assert_eq!(informed.directory().version, before);
 }
 
 /// Only what has changed is told, where the rest is known to be known.
 #[tokio::test(start_paused = true)]
-async fn what_has_changed_is_told_and_no_more() {
+async fn only_changes_are_sent() {
     let fleet = Fleet::start(1).await;
     let engine = &fleet.nodes[0].engine;
     let first = engine.configuration().expect("one");
@@ -237,12 +237,12 @@
     let names = directory.members.iter().map(|member| &*member.id);
     assert_eq!(names.collect::<Vec<&str>>(), ["c"]);
     // Who knows nothing, or what is forgotten, is told everything.
-    let nothing = DeclaredVersions {
+    let no_versions = DeclaredVersions {
         configuration: 0,
         directory: 0,
         evacuations: 0,
     };
-    let told = declared::newer(engine, nothing, Instant::now());
+    let told = declared::newer(engine, no_versions, Instant::now());
     assert!(matches!(
         told.configuration,
         Some(DeclaredConfiguration::Whole(_))
@@ -266,7 +266,7 @@
 /// The store's version rises with every write in it. Who has read all entries anew tells
 /// nobody what has not changed since.
 #[tokio::test(start_paused = true)]
-async fn entries_that_are_read_anew_are_no_news() {
+async fn unchanged_entries_that_are_reread_are_not_changes() {
     let fleet = Fleet::start(1).await;
     let now = Departure::at(Instant::now());
     let entries = |changed: u64| -> Vec<Member> {
--- a/crates/engine/tests/reads.rs
+++ b/crates/engine/tests/reads.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, sleep};
 
 #[tokio::test(start_paused = true)]
-async fn a_session_reads_what_it_wrote_also_where_replicas_apply_late() {
+async fn session_reads_its_own_writes_when_replicas_lag() {
     let fleet = Fleet::start(1).await;
     for replica in ["b", "c"] {
         fleet.world.change(replica, |server| {
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_bounded_read_sees_what_was_committed_longer_ago_than_its_bound() {
+async fn bounded_read_sees_commits_older_than_its_bound() {
     let fleet = Fleet::start(1).await;
     for replica in ["b", "c"] {
         fleet.world.change(replica, |server| {
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_member_is_passed_over_within_the_reads_time() {
+async fn unresponsive_member_is_skipped_within_the_timeout_of_the_read() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, BOUNDED_DATABASE);
     let (first, _) = read_row(&client.read("x").await);
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_read_whose_answer_is_broken_off_runs_at_another_member() {
+async fn interrupted_read_runs_at_another_member() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, BOUNDED_DATABASE);
     let (first, _) = read_row(&client.read("x").await);
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_leader_read_needs_evidence_that_the_leader_still_leads() {
+async fn leader_read_needs_evidence_that_the_term_continues() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     assert_eq!(read_row(&client.read("x").await).0, "a");
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_commit_elsewhere_wakes_a_leader_read_that_waits_for_evidence() {
+async fn commit_of_another_session_wakes_a_leader_read_that_waits_for_evidence() {
     let fleet = Fleet::start(1).await;
     fleet.records.set_fault(Fault::Silent);
     sleep(Duration::from_secs(1)).await;
@@ -111,7 +111,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_read_is_served_by_a_replica_that_may_lack_a_commit() {
+async fn replica_that_may_lack_a_commit_serves_no_reads() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, OWN_DATABASE);
     fleet
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_read_only_transaction_stays_at_one_member_and_sees_the_sessions_commits() {
+async fn read_only_transaction_runs_at_one_member_and_sees_the_sessions_commits() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, OWN_DATABASE);
     client.write("x 1").await;
--- a/crates/engine/tests/restored_store.rs
+++ b/crates/engine/tests/restored_store.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep};
 
 /// Time within which a fleet has written again what it knows.
-const WRITTEN_AGAIN_WITHIN: Duration = Duration::from_secs(5);
+const MAX_REWRITE_TIME: Duration = Duration::from_secs(5);
 
 fn stored_term(fleet: &Fleet) -> Option<TermRecord> {
     let record = fleet.records.get(&TermRecord::key(GROUP))?;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_version_of_a_later_era_is_newer() {
+fn version_of_a_later_era_is_newer() {
     let (before, after) = (version(3, 900), version(4, 17));
     assert!(before < after);
     assert_eq!((era_of(after), number_of(after)), (4, 17));
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_promotion_that_the_store_has_lost_is_recorded_again() {
+async fn promotion_that_the_store_lost_is_recorded_again() {
     let fleet = Fleet::start(3).await;
     write(&fleet).await;
     let backup = fleet.records.back_up();
@@ -62,16 +62,12 @@
     assert_eq!(stored_term(&fleet), None);
     let began = Instant::now();
     until(|| stored_term(&fleet).as_ref() == Some(&promoted)).await;
-    assert!(
-        began.elapsed() < WRITTEN_AGAIN_WITHIN,
-        "{:?}",
-        began.elapsed()
-    );
+    assert!(began.elapsed() < MAX_REWRITE_TIME, "{:?}", began.elapsed());
     write(&fleet).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_later_step_than_the_store_shows_is_kept_and_recorded_again() {
+async fn newer_term_than_the_restored_one_is_kept_and_recorded_again() {
     let fleet = Fleet::start(3).await;
     write(&fleet).await;
     change_leader(&fleet).await;
@@ -85,7 +81,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn neither_an_epoch_nor_a_fencing_number_is_given_out_twice() {
+async fn epochs_and_fencing_numbers_are_not_reused() {
     let fleet = Fleet::start(3).await;
     write(&fleet).await;
     let mut epochs = Vec::new();
@@ -94,7 +90,7 @@
         change_leader(&fleet).await;
         epochs.push(stored_term(&fleet).expect("a record").epoch);
         fleet.records.restore(backup);
-        sleep(WRITTEN_AGAIN_WITHIN).await;
+        sleep(MAX_REWRITE_TIME).await;
     }
     change_leader(&fleet).await;
     epochs.push(stored_term(&fleet).expect("a record").epoch);
@@ -111,26 +107,22 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn processes_whose_records_are_lost_write_them_again() {
+async fn processes_rewrite_their_lost_records() {
     let fleet = Fleet::start(3).await;
     let backup = fleet.records.back_up();
-    let late = fleet.spawn_node("node-9");
+    let late_node = fleet.spawn_node("node-9");
     until(|| fleet.records.get("node/node-9").is_some()).await;
     until(|| fleet.nodes[0].engine.processes() == 4).await;
     fleet.records.restore(backup);
     let began = Instant::now();
     until(|| fleet.records.get("node/node-9").is_some()).await;
-    assert!(
-        began.elapsed() < WRITTEN_AGAIN_WITHIN,
-        "{:?}",
-        began.elapsed()
-    );
+    assert!(began.elapsed() < MAX_REWRITE_TIME, "{:?}", began.elapsed());
     until(|| fleet.nodes[0].engine.processes() == 4).await;
-    drop(late);
+    drop(late_node);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_large_fleet_hears_of_what_was_lost() {
+async fn lost_records_reach_a_large_fleet_again() {
     let fleet = Fleet::start(20).await;
     write(&fleet).await;
     let backup = fleet.records.back_up();
@@ -139,7 +131,7 @@
     until(|| (0..20).all(|node| fleet.epoch(node) == promoted.epoch)).await;
     fleet.records.restore(backup);
     until(|| stored_term(&fleet).as_ref() == Some(&promoted)).await;
-    sleep(WRITTEN_AGAIN_WITHIN).await;
+    sleep(MAX_REWRITE_TIME).await;
     let versions = (0..20).map(|node| fleet.nodes[node].engine.terms().version());
     assert!(versions.clone().all(|version| era_of(version) == 1));
     assert!((0..20).all(|node| fleet.epoch(node) == promoted.epoch));
@@ -147,7 +139,7 @@
 }
 
 #[test]
-fn a_member_that_leaves_goes_on_leaving_whatever_a_copy_says() {
+fn leaving_member_stays_leaving_after_a_restore() {
     let world = support::servers::World::new(&["a", "b"]);
     let now = Instant::now();
     let departure = Departure::at(now);
--- a/crates/engine/tests/rosters.rs
+++ b/crates/engine/tests/rosters.rs
@@ -13,7 +13,7 @@
 const GROUPS: usize = 300;
 /// Records that one call writes at the least, for a fleet of groups: a tenth of the calls that
 /// single writes would take.
-const RECORDS_OF_A_CALL: usize = 10;
+const MIN_RECORDS_PER_CALL: usize = 10;
 /// Time in which all groups are recorded.
 const RECORDED_WITHIN: Duration = Duration::from_secs(5);
 
@@ -37,12 +37,12 @@
     configure(&fleet).await;
     assert_eq!(recorded(&fleet), GROUPS);
     let calls = fleet.records.roster_puts();
-    assert!(calls <= (GROUPS / RECORDS_OF_A_CALL) as u64, "{calls}");
+    assert!(calls <= (GROUPS / MIN_RECORDS_PER_CALL) as u64, "{calls}");
 }
 
 /// A record that another process has written keeps none of the others from being written.
 #[tokio::test(start_paused = true)]
-async fn a_conflict_about_one_group_leaves_the_others_recorded() {
+async fn conflict_on_one_group_does_not_block_the_others() {
     let fleet = Fleet::start(1).await;
     fleet
         .records
--- a/crates/engine/tests/server_lives.rs
+++ b/crates/engine/tests/server_lives.rs
@@ -17,19 +17,19 @@
 #[rstest]
 #[case::with_a_start("s-1", Some(17), "s-1@17")]
 #[case::without("s-1", None, "s-1")]
-#[case::like_one_with_a_start("s-1@17", None, "s-1@17@")]
-#[case::like_one_and_with_a_start("s-1@17", Some(4), "s-1@17@4")]
-fn a_life_names_its_server(
+#[case::name_that_looks_like_an_id_with_a_start("s-1@17", None, "s-1@17@")]
+#[case::name_that_looks_like_an_id_and_a_start("s-1@17", Some(4), "s-1@17@4")]
+fn incarnation_id_names_its_server(
     #[case] server: &str,
     #[case] started_at: Option<u64>,
-    #[case] life: &str,
+    #[case] incarnation: &str,
 ) {
-    assert_eq!(&*incarnation_id(server, started_at), life);
-    assert_eq!(server_name(life), server);
+    assert_eq!(&*incarnation_id(server, started_at), incarnation);
+    assert_eq!(server_name(incarnation), server);
 }
 
 #[test]
-fn only_other_lives_of_the_same_server_are_told_apart() {
+fn different_incarnations_of_the_same_server_are_recognized() {
     let id = |text: &str| MemberId::from(text);
     assert!(are_incarnations_of_same_server(&id("s@1"), &id("s@2")));
     assert!(are_incarnations_of_same_server(&id("s@2"), &id("s")));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_life_ends_when_the_next_one_is_told() {
+fn incarnation_ends_when_the_next_one_registers() {
     let world = World::new(&["a", "b"]);
     world.change("a", |server| server.started_at = Some(1));
     let before = known(&world);
@@ -67,7 +67,7 @@
 }
 
 /// Commits of callers go on after the fault, and none before it is lost or read too late.
-async fn play(processes: usize, fault: impl AsyncFn(&Fleet)) {
+async fn run_with_fault(processes: usize, fault: impl AsyncFn(&Fleet)) {
     let fleet = Fleet::start(processes).await;
     for name in ["a", "b", "c"] {
         fleet
@@ -94,20 +94,20 @@
 }
 
 #[rstest]
-#[case::at_once(Duration::from_millis(10))]
+#[case::immediately(Duration::from_millis(10))]
 #[case::before_it_is_replaced(Duration::from_millis(300))]
 #[case::after_it_was_replaced(Duration::from_secs(3))]
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_starts_again_empty_loses_nothing(
+async fn leader_that_restarts_empty_loses_no_commits(
     #[case] down: Duration,
     #[values(3, 20)] processes: usize,
 ) {
-    play(processes, async |fleet| start_empty(fleet, "a", down).await).await;
+    run_with_fault(processes, async |fleet| start_empty(fleet, "a", down).await).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_starts_again_empty_is_not_promoted() {
-    play(3, async |fleet| {
+async fn replica_that_restarts_empty_is_not_promoted() {
+    run_with_fault(3, async |fleet| {
         start_empty(fleet, "b", Duration::from_millis(200)).await;
         fleet.world.crash("a");
         sleep(Duration::from_secs(3)).await;
@@ -117,8 +117,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_server_that_starts_again_twice_is_its_last_life() {
-    play(3, async |fleet| {
+async fn server_that_restarts_twice_is_its_last_incarnation() {
+    run_with_fault(3, async |fleet| {
         start_empty(fleet, "a", Duration::from_millis(15)).await;
         start_empty(fleet, "a", Duration::from_millis(15)).await;
     })
@@ -126,8 +126,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_starts_again_behind_a_cut_is_replaced() {
-    play(3, async |fleet| {
+async fn leader_that_restarts_while_unreachable_is_replaced() {
+    run_with_fault(3, async |fleet| {
         for node in &fleet.nodes {
             fleet.network().cut(&node.name, "a");
         }
@@ -140,7 +140,7 @@
 
 /// Its entry has not told yet that it has started again.
 #[tokio::test(start_paused = true)]
-async fn no_transaction_reads_from_a_leader_that_has_started_again() {
+async fn transaction_does_not_read_from_a_leader_that_restarted_empty() {
     let fleet = Fleet::start(1).await;
     for name in ["a", "b", "c"] {
         fleet
@@ -161,17 +161,17 @@
 
 /// Whoever connects to a life that has ended would reach the next one.
 #[tokio::test(start_paused = true)]
-async fn no_connection_is_opened_to_a_life_that_has_ended() {
+async fn no_connection_is_opened_to_an_ended_incarnation() {
     let fleet = Fleet::start(1).await;
     fleet
         .world
         .change("b", |server| server.started_at = Some(1));
     let engine = &fleet.nodes[0].engine;
     until(|| engine.directory().member("b@1").is_some()).await;
-    let life = Arc::clone(engine.directory().member("b@1").expect("a member"));
-    let pool = engine.pool(&life);
+    let incarnation = Arc::clone(engine.directory().member("b@1").expect("a member"));
+    let pool = engine.pool(&incarnation);
     fleet.world.start_empty("b");
-    until(|| engine.directory().has_restarted(&life)).await;
+    until(|| engine.directory().has_restarted(&incarnation)).await;
     let order = pool.control(stilequay_engine::ports::Control::Status).await;
     assert!(order.is_err(), "{order:?}");
     assert!(matches!(
--- a/crates/engine/tests/sessions.rs
+++ b/crates/engine/tests/sessions.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 #[tokio::test(start_paused = true)]
-async fn values_of_a_session_are_in_place_wherever_it_reads_and_nowhere_else() {
+async fn session_values_apply_to_all_its_reads_and_to_no_other_session() {
     let fleet = Fleet::start(1).await;
     let mut first = fleet.session(0, OWN_DATABASE);
     let mut second = fleet.session(0, OWN_DATABASE);
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn equal_names_of_two_sessions_stand_for_their_own_statements() {
+async fn prepared_statement_names_are_local_to_a_session() {
     let fleet = Fleet::start(1).await;
     let mut reader = fleet.session(0, LEADER_DATABASE);
     let mut writer = fleet.session(0, LEADER_DATABASE);
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_name_that_was_never_prepared_or_was_dropped_is_told_so() {
+async fn executing_an_unknown_prepared_statement_fails() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     let reply = client.execute("s1", "k").await;
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_transaction_runs_at_one_member_and_is_committed_once() {
+async fn transaction_runs_at_one_member_and_is_committed_once() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     assert_eq!(client.begin(false).await.state, TransactionState::Open);
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_rolled_back_transaction_leaves_nothing() {
+async fn rolled_back_transaction_writes_nothing() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     client.begin(false).await;
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_session_that_ends_in_a_transaction_rolls_it_back() {
+async fn session_that_ends_during_a_transaction_rolls_it_back() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     client.begin(false).await;
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_empty_transaction_is_committed_with_a_members_signature() {
+async fn empty_transaction_is_committed_with_a_members_signature() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     client.begin(false).await;
@@ -100,7 +100,7 @@
 #[case::commit(true)]
 #[case::rollback(false)]
 #[tokio::test(start_paused = true)]
-async fn ending_what_was_never_begun_is_out_of_place(#[case] commit: bool) {
+async fn ending_a_transaction_that_was_not_begun_fails(#[case] commit: bool) {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     let reply = match commit {
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_member_lost_in_a_transaction_is_told_with_a_promise_and_only_ending_helps() {
+async fn losing_the_member_fails_the_transaction_until_it_is_ended() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     client.begin(false).await;
@@ -132,7 +132,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_transaction_that_rests_too_long_is_ended_and_told_at_the_next_statement() {
+async fn idle_transaction_is_aborted_and_reported_at_the_next_statement() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     assert_eq!(client.session.idle_deadline(), None);
@@ -150,7 +150,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_database_without_a_route_gets_no_session() {
+async fn opening_a_session_for_an_unrouted_database_fails() {
     let fleet = Fleet::start(1).await;
     let engine = fleet.nodes[0].engine.clone();
     let failure = Session::open(engine, "nowhere".into(), None).await;
@@ -160,7 +160,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_changed_route_binds_from_the_next_transaction_on() {
+async fn changed_route_applies_from_the_next_transaction() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     client.begin(false).await;
--- a/crates/engine/tests/silence.rs
+++ b/crates/engine/tests/silence.rs
@@ -52,7 +52,7 @@
 
 /// Connections to a server go silent together: one request finds out for all.
 #[tokio::test(start_paused = true)]
-async fn resting_connections_to_a_silent_server_are_closed_together() {
+async fn idle_connections_to_a_silent_server_are_closed_together() {
     let fleet = Fleet::start(1).await;
     let mut clients: Vec<_> = (0..3).map(|_| fleet.session(0, LEADER_DATABASE)).collect();
     let reads = clients.iter_mut().map(|client| client.read("x"));
--- a/crates/engine/tests/simulation.rs
+++ b/crates/engine/tests/simulation.rs
@@ -22,13 +22,13 @@
 const RECOVERY: Duration = Duration::from_secs(12);
 
 /// How long a moment is waited for at which two servers hold the same.
-const COPY_PATIENCE: Duration = Duration::from_millis(500);
+const MAX_REPLICATION_WAIT: Duration = Duration::from_millis(500);
 
 /// Processes of a fleet in which homes hold the connections.
 const LARGE: usize = 20;
 
 /// Brings one fault about, for a while.
-async fn strike(fleet: &Fleet, rng: &mut StdRng) {
+async fn inject_fault(fleet: &Fleet, rng: &mut StdRng) {
     let server = SERVERS[rng.random_range(0..SERVERS.len())];
     let other = SERVERS[rng.random_range(0..SERVERS.len())];
     let node = fleet.nodes[rng.random_range(0..fleet.nodes.len())]
@@ -121,7 +121,7 @@
 /// one the commits would be lost whatever is done.
 async fn start_empty(fleet: &Fleet, server: &str) {
     let held = |name: &str| fleet.world.server(name).position();
-    let until = Instant::now() + COPY_PATIENCE;
+    let until = Instant::now() + MAX_REPLICATION_WAIT;
     while Instant::now() < until {
         let mut others = SERVERS.iter().filter(|other| **other != server);
         if others.any(|other| held(other) >= held(server)) {
@@ -133,38 +133,38 @@
 }
 
 /// A server starts again with nothing, the store comes back from a copy that is older than a
-/// fault, or one of the faults of [`strike`].
-async fn strike_memory(fleet: &Fleet, rng: &mut StdRng) {
+/// fault, or one of the faults of [`inject_fault`].
+async fn inject_fault_or_data_loss(fleet: &Fleet, rng: &mut StdRng) {
     match rng.random_range(0..3) {
         0 => start_empty(fleet, SERVERS[rng.random_range(0..SERVERS.len())]).await,
         1 => {
             let backup = fleet.records.back_up();
-            strike(fleet, rng).await;
+            inject_fault(fleet, rng).await;
             fleet.records.set_fault(Fault::Silent);
             sleep(Duration::from_millis(rng.random_range(50..400))).await;
             fleet.records.restore(backup);
             fleet.records.set_fault(Fault::None);
         }
-        _ => strike(fleet, rng).await,
+        _ => inject_fault(fleet, rng).await,
     }
 }
 
 async fn run(seed: u64, processes: usize) -> (Vec<String>, (usize, usize)) {
     let fleet = Fleet::start(processes).await;
-    play(seed, fleet, strike).await
+    run_with_faults(seed, fleet, inject_fault).await
 }
 
-async fn play(
+async fn run_with_faults(
     seed: u64,
     fleet: Fleet,
-    strike: impl AsyncFn(&Fleet, &mut StdRng),
+    inject_fault: impl AsyncFn(&Fleet, &mut StdRng),
 ) -> (Vec<String>, (usize, usize)) {
     let mut rng = StdRng::seed_from_u64(seed);
     let history = Arc::new(History::default());
     fleet.spawn_callers(&history);
     for _ in 0..FAULTS {
         sleep(Duration::from_millis(rng.random_range(50..800))).await;
-        strike(&fleet, &mut rng).await;
+        inject_fault(&fleet, &mut rng).await;
     }
     let before = history.counts().0;
     sleep(RECOVERY).await;
@@ -173,24 +173,24 @@
         "seed {seed}: no write after the faults"
     );
     let mut violations = history.violations(&fleet.world);
-    violations.extend(fallen_numbers(&fleet));
+    violations.extend(decreasing_fencing_numbers(&fleet));
     (violations, history.counts())
 }
 
 /// Orders whose number is lower than that of an order before.
-fn fallen_numbers(fleet: &Fleet) -> Vec<String> {
+fn decreasing_fencing_numbers(fleet: &Fleet) -> Vec<String> {
     let orders = fleet.world.promotions();
-    let fallen = orders
+    let decreasing = orders
         .windows(2)
         .filter(|pair| pair[1].fencing < pair[0].fencing);
-    fallen
+    decreasing
         .map(|pair| format!("an order of {:?} after one of {:?}", pair[1], pair[0]))
         .collect()
 }
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn no_promise_is_broken_under_random_faults(
+async fn no_guarantee_is_violated_under_random_faults(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20)] seed: u64,
 ) {
     let (violations, (commits, reads)) = run(seed, 3).await;
@@ -203,7 +203,7 @@
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn no_promise_is_broken_in_a_large_fleet(#[values(1, 2, 3, 4)] seed: u64) {
+async fn no_guarantee_is_violated_in_a_large_fleet(#[values(1, 2, 3, 4)] seed: u64) {
     let (violations, (commits, reads)) = run(seed, LARGE).await;
     assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
     assert!(
@@ -214,14 +214,15 @@
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn no_promise_is_broken_where_store_and_servers_forget(
+async fn no_guarantee_is_violated_when_store_and_servers_lose_data(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 16, 58, 106, 114, 150)] seed: u64,
 ) {
     let fleet = Fleet::start(3).await;
     for server in SERVERS {
         fleet.world.change(server, |s| s.started_at = Some(1));
     }
-    let (violations, (commits, reads)) = play(seed, fleet, strike_memory).await;
+    let (violations, (commits, reads)) =
+        run_with_faults(seed, fleet, inject_fault_or_data_loss).await;
     assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
     assert!(
         commits > 100 && reads > 100,
@@ -231,7 +232,7 @@
 
 /// A link that delivers commands twice, as one would that repeats what was not answered.
 #[tokio::test(start_paused = true)]
-async fn a_forwarded_write_that_is_repeated_is_found() {
+async fn repeated_forwarded_write_is_detected() {
     let fleet = Fleet::start(LARGE).await;
     let history = Arc::new(History::default());
     fleet.peers.repeats_frames.store(true, Ordering::Relaxed);
@@ -246,7 +247,7 @@
 
 /// Evidence that a keeper tells the whole fleet, from a store that shows it the past.
 #[tokio::test(start_paused = true)]
-async fn evidence_of_a_keeper_that_is_shown_the_past_is_found() {
+async fn stale_evidence_in_a_large_fleet_is_detected() {
     let fleet = Fleet::start(LARGE).await;
     let history = Arc::new(History::default());
     fleet.spawn_callers(&history);
@@ -280,19 +281,19 @@
 fn cut_all_but_one(fleet: &Fleet) -> String {
     let holder = fleet.lease().holder;
     let names = || fleet.nodes.iter().map(|node| node.name.clone());
-    let keeper = names().find(|name| name != holder.as_str());
-    let keeper = keeper.expect("a process without the lease");
-    let others = names().filter(|name| *name != keeper);
+    let isolated_node = names().find(|name| name != holder.as_str());
+    let isolated_node = isolated_node.expect("a process without the lease");
+    let others = names().filter(|name| *name != isolated_node);
     others.for_each(|name| fleet.network().cut(&name, "a"));
-    keeper
+    isolated_node
 }
 
 /// One process keeps the old leader and loses the store; the others promote another.
-async fn split(fleet: &Fleet, history: &Arc<History>) {
+async fn partition_from_the_old_leader(fleet: &Fleet, history: &Arc<History>) {
     fleet.spawn_callers(history);
     sleep(Duration::from_secs(2)).await;
-    let keeper = cut_all_but_one(fleet);
-    fleet.records.refuse_node(&keeper, true);
+    let isolated_node = cut_all_but_one(fleet);
+    fleet.records.refuse_node(&isolated_node, true);
     // Nor does it learn of the change from the others.
     fleet.peers.set_isolated(true);
     until(|| !fleet.world.promotions().is_empty()).await;
@@ -300,20 +301,20 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_split_breaks_no_promise() {
+async fn partition_violates_no_guarantee() {
     let fleet = Fleet::start(3).await;
     let history = Arc::new(History::default());
-    split(&fleet, &history).await;
+    partition_from_the_old_leader(&fleet, &history).await;
     assert_eq!(history.violations(&fleet.world), Vec::<String>::new());
 }
 
 #[tokio::test(start_paused = true)]
-async fn replicas_that_are_not_really_paused_are_found() {
+async fn replica_that_ignores_its_pause_is_detected() {
     let fleet = Fleet::start(3).await;
     // Of two that have received as much, `c` is chosen; `b` goes on receiving.
     fleet.world.change("b", |s| s.ignores_pause = true);
     let history = Arc::new(History::default());
-    split(&fleet, &history).await;
+    partition_from_the_old_leader(&fleet, &history).await;
     let violations = history.violations(&fleet.world);
     assert!(
         violations.iter().any(|v| v.starts_with("lost")),
@@ -323,7 +324,7 @@
 
 /// The replica that holds the commits is not known: its entry was never taken, or is forgotten.
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_nobody_knows_is_waited_for() {
+async fn unknown_replica_blocks_promotions() {
     let fleet = Fleet::start(3).await;
     let history = Arc::new(History::default());
     fleet.world.change("b", |s| s.not_receiving = true);
@@ -343,13 +344,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn evidence_from_a_store_that_shows_the_past_is_found() {
+async fn evidence_from_a_stale_store_is_detected() {
     let fleet = Fleet::start(3).await;
     let history = Arc::new(History::default());
     fleet.spawn_callers(&history);
     sleep(Duration::from_secs(2)).await;
-    let keeper = cut_all_but_one(&fleet);
-    fleet.records.serve_stale_data_to(&keeper);
+    let isolated_node = cut_all_but_one(&fleet);
+    fleet.records.serve_stale_data_to(&isolated_node);
     until(|| !fleet.world.promotions().is_empty()).await;
     sleep(Duration::from_secs(4)).await;
     let violations = history.violations(&fleet.world);
@@ -361,7 +362,7 @@
 
 /// A holder that does not notice the loss of its lease.
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_does_not_check_its_lease_is_found() {
+async fn holder_that_ignores_the_loss_of_its_lease_is_detected() {
     let fleet = Fleet::start(3).await;
     let history = Arc::new(History::default());
     fleet.spawn_callers(&history);
@@ -369,17 +370,17 @@
     fleet.records.fake_renewals_for(holder.as_str());
     // Another process takes the lease that is not renewed.
     sleep(Duration::from_secs(4)).await;
-    let mut fallen = Vec::new();
+    let mut decreasing = Vec::new();
     for _ in 0..12 {
         let leader = fleet.world.leader();
         fleet.world.crash(&leader);
         sleep(Duration::from_secs(4)).await;
         fleet.world.restart(&leader);
         sleep(Duration::from_secs(2)).await;
-        fallen = fallen_numbers(&fleet);
-        if !fallen.is_empty() {
+        decreasing = decreasing_fencing_numbers(&fleet);
+        if !decreasing.is_empty() {
             break;
         }
     }
-    assert!(!fallen.is_empty());
+    assert!(!decreasing.is_empty());
 }
--- a/crates/engine/tests/stand_in.rs
+++ b/crates/engine/tests/stand_in.rs
@@ -8,7 +8,7 @@
 /// A server that is demoted is shown to read what it had committed, however long replicas take
 /// to apply what they receive: its log tells the same position before and after.
 #[tokio::test(start_paused = true)]
-async fn a_demoted_server_goes_on_showing_what_it_committed() {
+async fn demoted_server_still_shows_what_it_committed() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     assert!(client.write("x 1").await.outcome.is_ok());
--- a/crates/engine/tests/support/freezer.rs
+++ b/crates/engine/tests/support/freezer.rs
@@ -1,10 +1,10 @@
-//! Processes that stand still: what they are answered reaches them only when they go on.
+//! Suspends simulated processes: answers reach a frozen process only after it resumes.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
 use tokio::sync::watch;
 
-/// The processes that stand still now.
+/// The set of processes that are frozen now.
 #[derive(Debug)]
 pub struct Freezer {
     frozen: Mutex<HashSet<String>>,
@@ -21,7 +21,7 @@
 }
 
 impl Freezer {
-    /// Stops a process, or lets it go on.
+    /// Freezes a process, or resumes it.
     pub fn set(&self, node: &str, frozen: bool) {
         let mut nodes = self.frozen.lock().unwrap();
         match frozen {
@@ -32,12 +32,12 @@
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Whether a process stands still now.
+    /// Whether a process is frozen now.
     pub fn is_frozen(&self, node: &str) -> bool {
         self.frozen.lock().unwrap().contains(node)
     }
 
-    /// Returns while `node` goes on.
+    /// Returns once `node` isn't frozen.
     pub async fn wait_until_resumed(&self, node: &str) {
         let mut changes = self.changes.subscribe();
         while self.is_frozen(node) {
--- a/crates/engine/tests/support/groups.rs
+++ b/crates/engine/tests/support/groups.rs
@@ -1,11 +1,11 @@
-//! Many groups, of three members each, that nobody asks.
+//! Many groups, of three members each, that receive no requests.
 
 use super::configuration;
 use std::sync::Arc;
 use stilequay_engine::configuration::{Configuration, GroupSettings};
 use stilequay_engine::directory::{Member, MemberState, Role};
 
-/// The name of one of the groups.
+/// The name of the group with this index.
 pub fn group_name(index: usize) -> String {
     format!("group-{index}")
 }
@@ -33,7 +33,7 @@
     })
 }
 
-/// The usual configuration with the first `count` groups, as version `version`.
+/// The default test configuration plus the first `count` groups, as version `version`.
 pub fn with_groups(version: u64, count: usize) -> Configuration {
     let mut configuration = configuration(1);
     configuration.version = version;
--- a/crates/engine/tests/support/history.rs
+++ b/crates/engine/tests/support/history.rs
@@ -1,4 +1,4 @@
-//! What callers saw, and the promises checked against it.
+//! Records what callers observed, and checks the consistency guarantees against it.
 
 use super::servers::{ReadLog, World};
 use super::{BOUNDED_DATABASE, Client, LEADER_DATABASE, STALENESS, read, write};
@@ -9,7 +9,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-/// Pause of a caller between two rounds.
+/// Pause of a caller between two iterations.
 const CALLER_PAUSE: Duration = Duration::from_millis(60);
 
 /// An acknowledged commit.
@@ -27,11 +27,11 @@
     requested_at: Instant,
     session: usize,
     staleness: Option<Duration>,
-    /// Whether it must see its session's commits.
+    /// Whether the read must see the earlier commits of its session.
     reads_own_writes: bool,
 }
 
-/// Everything that callers saw.
+/// All acknowledged commits and answered reads.
 #[derive(Debug, Default)]
 pub struct History {
     commits: Mutex<Vec<AcknowledgedCommit>>,
@@ -39,8 +39,8 @@
 }
 
 impl History {
-    /// A caller that writes and reads by turns until it is aborted. Staleness is `None`
-    /// where its reads must see every commit.
+    /// Spawns a caller that alternates writes and reads for the rest of the test. The staleness of
+    /// its reads is `None` if they must see every commit.
     pub fn spawn_caller(self: &Arc<Self>, engine: &Arc<Engine>, database: &str, session: usize) {
         let history = Arc::clone(self);
         let engine = Arc::clone(engine);
@@ -66,7 +66,7 @@
         });
     }
 
-    /// A caller that only reads, and must see every commit, until it is aborted.
+    /// Spawns a caller that reads until it is aborted. Its reads must see every commit.
     pub fn spawn_reader(self: &Arc<Self>, engine: &Arc<Engine>, session: usize) -> JoinHandle<()> {
         let history = Arc::clone(self);
         let engine = Arc::clone(engine);
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Reads once, and remembers what was answered.
+    /// Sends one read, and records it if it is answered.
     async fn read(
         &self,
         client: &mut Client,
@@ -100,13 +100,13 @@
         }
     }
 
-    /// Commits that were acknowledged, and reads that were answered.
+    /// The number of acknowledged commits and of answered reads.
     pub fn counts(&self) -> (usize, usize) {
         let commits = self.commits.lock().unwrap().len();
         (commits, self.reads.lock().unwrap().len())
     }
 
-    /// Broken promises, each in words.
+    /// Descriptions of all violated guarantees.
     pub fn violations(&self, world: &World) -> Vec<String> {
         let leader = world.server(&world.leader());
         let ids = leader.log.iter().map(|entry| &entry.1);
@@ -146,7 +146,7 @@
     }
 }
 
-/// How many entries of the log that was kept a read has seen.
+/// How many entries of the surviving log a read has seen.
 fn entries_seen(read: &ReadLog, indices: &HashMap<&String, usize>) -> usize {
     let last = read.tail.iter().rev().find_map(|id| indices.get(id));
     last.map_or(0, |at| at + 1)
--- a/crates/engine/tests/support/mod.rs
+++ b/crates/engine/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in of a group of servers, of the store and of the promotion service, in memory
-//! and on tokio's paused clock: every run takes the same course.
+//! In-memory simulation of a group of servers, of the store and of the promotion service, on
+//! tokio's paused clock, so that timing is reproducible.
 
 #![allow(dead_code)]
 
@@ -36,18 +36,20 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, timeout};
 
-/// The database of each consistency.
+/// The database with leader consistency.
 pub const LEADER_DATABASE: &str = "orders";
+/// The database with bounded staleness.
 pub const BOUNDED_DATABASE: &str = "menus";
+/// The database whose sessions read their own writes.
 pub const OWN_DATABASE: &str = "riders";
-/// Age that bounded reads may have.
+/// Maximum staleness of reads that aren't leader reads.
 pub const STALENESS: Duration = Duration::from_millis(1_500);
 /// The only group.
 pub const GROUP: &str = "ledger";
-/// Time-out of all routes.
+/// Timeout of all routes.
 pub const TIMEOUT: Duration = Duration::from_millis(800);
 
-/// A fleet of processes before one group.
+/// A fleet of processes in front of one group.
 pub struct Fleet {
     pub world: Arc<World>,
     pub records: Arc<MemoryRecords>,
@@ -55,15 +57,15 @@
     pub nodes: Vec<Node>,
     /// The newest configuration in the store.
     pub configuration: watch::Sender<Configuration>,
-    /// The zones that are evacuated, as the store holds them.
+    /// The evacuated zones, as recorded in the store.
     pub evacuations: watch::Sender<Evacuations>,
-    /// Time within which processes that are started must act on evacuations.
+    /// The evacuation bound of processes that are started.
     pub evacuation_bound: Option<Duration>,
-    /// The zones in which processes stand, in turn.
+    /// The zones of the processes, assigned round-robin.
     zones: &'static [&'static str],
-    /// The regions of zones, as the settings of the process called so tell them.
+    /// The regions of the zones, according to the settings of the process with this name.
     regions: fn(&str) -> HashMap<ZoneName, RegionName>,
-    /// How callers prove on whose behalf they ask.
+    /// How callers authenticate as tenants.
     pub tenants: Option<TenantPolicy>,
 }
 
@@ -75,7 +77,7 @@
 }
 
 impl Node {
-    /// Ends its tasks, and leaves what it knows as it is.
+    /// Aborts the process's tasks and keeps its engine's state.
     pub fn abort(&self) {
         self.tasks.iter().for_each(|task| task.abort());
     }
@@ -125,18 +127,18 @@
 }
 
 impl Fleet {
-    /// Starts `nodes` processes before three servers, `a` leading, and waits until every
-    /// process knows the leader.
+    /// Starts `nodes` processes in front of three servers, with `a` as the leader, and waits until
+    /// every process knows the leader.
     pub async fn start(nodes: usize) -> Self {
         Self::start_in(&["zone-a"], nodes).await
     }
 
-    /// The same, with processes in several zones.
+    /// Like [`Fleet::start`], with processes in several zones.
     pub async fn start_in(zones: &'static [&'static str], nodes: usize) -> Self {
         Self::start_with(zones, nodes, None).await
     }
 
-    /// The same, with callers that show credentials.
+    /// Like [`Fleet::start_in`], with callers that present credentials.
     pub async fn start_with(
         zones: &'static [&'static str],
         nodes: usize,
@@ -145,7 +147,7 @@
         Self::start_with_options(zones, nodes, tenants, None, |_| HashMap::new()).await
     }
 
-    /// The same, where zones are evacuated within `bound`.
+    /// Like [`Fleet::start_in`], with the evacuation bound `bound`.
     pub async fn start_with_evacuation_bound(
         bound: Duration,
         zones: &'static [&'static str],
@@ -154,7 +156,7 @@
         Self::start_with_options(zones, nodes, None, Some(bound), |_| HashMap::new()).await
     }
 
-    /// The same, where each process is told the regions of zones.
+    /// Like [`Fleet::start_with`], where the settings of each process list the regions of the zones.
     pub async fn start_in_regions(
         zones: &'static [&'static str],
         nodes: usize,
@@ -164,7 +166,7 @@
         Self::start_with_options(zones, nodes, tenants, None, regions).await
     }
 
-    /// The same, with all of these.
+    /// Like [`Fleet::start`], with all options.
     pub async fn start_with_options(
         zones: &'static [&'static str],
         nodes: usize,
@@ -196,8 +198,8 @@
         let nodes = fleet.nodes.iter().collect::<Vec<_>>();
         until(|| nodes.iter().all(|node| knows_leader(node))).await;
         until(|| fleet.records.get("lease/promotion").is_some()).await;
-        // The program serves nobody before it has learned the configuration from the store or
-        // from another process; here it is set beforehand.
+        // The program serves no callers before it has learned the configuration from the store or
+        // from another process. Here the configuration is set in advance, so wait for the proof.
         let has_proof = |node: &Node| {
             let proof = node.engine.following().configuration_complete_as_of();
             proof.is_some()
@@ -206,7 +208,7 @@
         fleet
     }
 
-    /// Starts a process anew that was killed.
+    /// Restarts a process that was killed.
     pub fn respawn_node(&self, name: &str) -> Node {
         self.peers.revive(name);
         self.spawn_node(name)
@@ -275,25 +277,25 @@
         Directory::default().with_entries(1, self.world.entries(), Departure::at(Instant::now()))
     }
 
-    /// Lets a process stand still, or go on.
+    /// Freezes a process, or resumes it.
     pub fn freeze(&self, node: &str, frozen: bool) {
         self.records.freezer.set(node, frozen);
         self.world.freezer.set(node, frozen);
     }
 
-    /// Ends one process at once, with its links.
+    /// Kills one process immediately, with its links.
     pub fn kill(&mut self, node: usize) {
         self.peers.kill(&self.nodes[node].name);
         self.nodes[node].kill();
     }
 
-    /// The lease for promotions as the store has it.
+    /// The promotion lease as recorded in the store.
     pub fn lease(&self) -> LeaseRecord {
         let record = self.records.get("lease/promotion").expect("a lease");
         rmp_serde::from_slice(&record.value).expect("a lease's record")
     }
 
-    /// The process that holds the lease for promotions.
+    /// The index of the process that holds the promotion lease.
     pub fn holder(&self) -> usize {
         let holder = self.lease().holder;
         let mut nodes = self.nodes.iter();
@@ -307,7 +309,7 @@
         group.view().epoch
     }
 
-    /// A caller of each database at each process, whose requests `history` remembers.
+    /// Spawns one caller per process and database, whose requests are recorded in `history`.
     pub fn spawn_callers(&self, history: &Arc<History>) {
         let databases = [LEADER_DATABASE, OWN_DATABASE, BOUNDED_DATABASE];
         for (index, node) in self.nodes.iter().enumerate() {
@@ -317,7 +319,7 @@
         }
     }
 
-    /// A caller at each process that only reads, from the leader; `history` remembers its reads.
+    /// Spawns one caller per process that only sends leader reads, which are recorded in `history`.
     pub fn spawn_readers(&self, history: &Arc<History>) -> Vec<JoinHandle<()>> {
         let databases = 3;
         let nodes = self.nodes.iter().enumerate();
@@ -328,7 +330,7 @@
         spawned.collect()
     }
 
-    /// A session at one process.
+    /// Opens a session at one process.
     pub fn session(&self, node: usize, database: &str) -> Client {
         Client::open(&self.nodes[node].engine, database)
     }
@@ -338,13 +340,14 @@
     }
 }
 
-/// What the operator has written.
+/// What the operator has declared in the store.
 struct OperatorInput {
     configuration: watch::Receiver<Configuration>,
     evacuations: watch::Receiver<Evacuations>,
 }
 
-/// Entries change a moment after the servers do.
+/// Polls the servers and the operator's input, so that the directory changes shortly after the
+/// servers do.
 async fn follow_directory(
     engine: Arc<Engine>,
     world: Arc<World>,
@@ -379,7 +382,7 @@
     }
 }
 
-/// Waits for a condition, on the paused clock.
+/// Waits for a condition on the paused clock, and panics after 20,000 checks.
 pub async fn until(condition: impl Fn() -> bool) {
     for _ in 0..20_000 {
         if condition() {
@@ -387,10 +390,10 @@
         }
         sleep(Duration::from_millis(2)).await;
     }
-    panic!("the condition was not met");
+    panic!("timed out waiting for a condition");
 }
 
-/// A caller.
+/// A caller with an open session.
 pub struct Client {
     pub session: Session,
     pub next: u64,
@@ -401,12 +404,13 @@
         Self::open_with(engine, database, None)
     }
 
-    /// Opens a session of a caller that shows `credential`. All that decides is known.
+    /// Opens a session of a caller that presents `credential`. The authorization must not have to
+    /// wait for anything.
     pub fn open_with(engine: &Arc<Engine>, database: &str, credential: Option<Credential>) -> Self {
         let opened = Session::open(Arc::clone(engine), Arc::from(database), credential);
-        let session = opened.now_or_never().expect("nothing is waited for");
+        let session = opened.now_or_never().expect("no wait in the authorization");
         Self {
-            session: session.expect("the caller is served"),
+            session: session.expect("an authorized session"),
             next: 0,
         }
     }
@@ -415,7 +419,7 @@
         self.send_with_id(statement).await.1
     }
 
-    /// Asks, and tells the request's id too.
+    /// Sends a statement; returns the request's id and the reply.
     pub async fn send_with_id(&mut self, statement: Statement) -> (String, Reply) {
         self.next += 1;
         let id = format!("{:08x}-{}", rand::random::<u32>(), self.next);
@@ -435,8 +439,7 @@
         self.send(write(key)).await
     }
 
-    /// Writes until one is acknowledged, as a caller that comes back does, and fails unless one
-    /// is `within` that time.
+    /// Retries a write until it is acknowledged, and panics if that takes longer than `within`.
     pub async fn write_until_acknowledged(&mut self, within: Duration) {
         let written = async {
             while self.write("x 1").await.outcome.is_err() {
@@ -495,15 +498,15 @@
     Bytes::copy_from_slice(text.as_bytes())
 }
 
-/// What a read's row tells: the server, and how many commits its log had applied.
+/// Parses the first row of a read: the server, and the number of log entries it had applied.
 pub fn read_row(reply: &Reply) -> (String, u64) {
     assert!(reply.outcome.is_ok(), "{reply:?}");
-    let row = std::str::from_utf8(&reply.rows[0]).expect("a text");
+    let row = std::str::from_utf8(&reply.rows[0]).expect("valid UTF-8");
     let (server, count) = row.split_once(' ').expect("two words");
     (server.to_owned(), count.parse().expect("a number"))
 }
 
-/// Prints events where `STILEQUAY_TEST_EVENTS` is set: for whoever looks into a failure.
+/// Prints events if `STILEQUAY_TEST_EVENTS` is set, to help investigate a failing test.
 struct EventPrinter;
 
 impl log::Log for EventPrinter {
@@ -520,7 +523,7 @@
 
 fn print_events_if_enabled() {
     if std::env::var_os("STILEQUAY_TEST_EVENTS").is_some() {
-        // Several tests may ask for it.
+        // Another test of this process may have set the logger already.
         let _ = log::set_logger(&EventPrinter);
         log::set_max_level(log::LevelFilter::Trace);
     }
--- a/crates/engine/tests/support/peers.rs
+++ b/crates/engine/tests/support/peers.rs
@@ -1,4 +1,4 @@
-//! Processes that reach one another in memory.
+//! In-memory network between processes.
 
 use super::servers::World;
 use async_trait::async_trait;
@@ -20,44 +20,44 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Time for a question or an answer.
+/// Latency of a request or a reply.
 const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
 
-/// When a frame comes again on a link that repeats them.
+/// Delay after which a repeated frame is delivered again.
 const REPEAT_DELAY: Duration = Duration::from_millis(60);
-/// Frames of a link that wait on one side.
+/// Capacity of the queue at each end of a link, in frames.
 const LINK_QUEUE: usize = 2_048;
 
-/// All processes, by address.
+/// The network of all processes.
 #[derive(Debug)]
 pub struct MemoryPeers {
     world: Arc<World>,
     engines: Mutex<HashMap<SocketAddr, Weak<Engine>>>,
     isolated: Mutex<bool>,
     killed: watch::Sender<HashSet<String>>,
-    /// What these know reaches nobody over links.
+    /// Processes whose updates are dropped on all links.
     update_blackholes: Mutex<HashSet<String>>,
-    /// Bytes a second that one process sends over all its links; any number where it is zero.
+    /// Bytes per second that one process can send over all its links; zero means no limit.
     pub send_rate: AtomicU64,
-    /// Until when what each process has sent is on its way.
+    /// When each process will have finished sending its queued frames.
     sending_until: Mutex<HashMap<String, Instant>>,
-    /// Links of an earlier generation carry nothing any more, and don't end.
+    /// Links of an earlier generation drop all frames but stay open.
     generation: AtomicU64,
-    /// Keeps what links carry, for [`MemoryPeers::processes_reached`].
+    /// Whether frames are recorded for [`MemoryPeers::processes_reached`].
     pub records_frames: AtomicBool,
-    /// To which process which frame was sent.
+    /// The recorded frames, each with the process that it was sent to.
     frames: Mutex<Vec<(String, Bytes)>>,
-    /// Frames tell a home of another tenant than the one that asks: a planted mistake.
+    /// Injected bug: frames name another tenant than the one that sent the request.
     pub swaps_tenant_names: AtomicBool,
-    /// Delivers each frame of a link once more a moment later: a planted mistake.
+    /// Injected bug: each frame of a link is delivered a second time a little later.
     pub repeats_frames: AtomicBool,
-    /// Questions for news that were sent.
+    /// Number of update requests sent.
     pub update_requests: AtomicU64,
-    /// Answers to these that have arrived.
+    /// Number of replies to them that have arrived.
     pub update_replies: AtomicU64,
 }
 
-/// The other processes as one of them reaches them.
+/// The network as seen by one process.
 #[derive(Debug)]
 pub struct NodePeers {
     peers: Arc<MemoryPeers>,
@@ -91,12 +91,12 @@
         })
     }
 
-    /// Lets all links go silent for good; new ones work.
+    /// Makes all open links drop every frame permanently. New links work.
     pub fn silence_links(&self) {
         self.generation.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Loses whatever one process tells the others of what it knows; it still runs commands.
+    /// Drops all updates about the store that one process sends to others. It still runs commands.
     pub fn drop_updates_from(&self, node: &str) {
         self.update_blackholes
             .lock()
@@ -104,7 +104,7 @@
             .insert(node.to_owned());
     }
 
-    /// The processes to which a frame was sent that names the request `id`.
+    /// The processes that were sent a frame which contains the request id `id`.
     pub fn processes_reached(&self, id: &str) -> BTreeSet<String> {
         let frames = self.frames.lock().unwrap();
         let naming = frames.iter().filter(|(_, frame)| {
@@ -114,7 +114,7 @@
         naming.map(|(to, _)| to.clone()).collect()
     }
 
-    /// Ends all links of a process; it answers nobody any more.
+    /// Closes all links of a process and makes it unreachable.
     pub fn kill(&self, node: &str) {
         let address = Self::address_of(node);
         self.engines.lock().unwrap().remove(&address);
@@ -123,15 +123,16 @@
         });
     }
 
-    /// A process that was killed is going to start anew.
+    /// Makes a process that was killed reachable again, before it restarts.
     pub fn revive(&self, node: &str) {
         self.killed.send_modify(|killed| {
             killed.remove(node);
         });
     }
 
-    /// Passes frames on from one process to another, after a moment, while both live and
-    /// the way between them is open; a process that stands still neither sends nor reads.
+    /// Forwards frames from one process to another with some latency, until one of the two is
+    /// killed. Drops frames while the network between them is cut. A frozen process neither sends
+    /// nor receives.
     async fn forward_frames(
         self: Arc<Self>,
         (from, to): (String, String),
@@ -161,7 +162,7 @@
             sleep(ONE_WAY_DELAY).await;
             self.world.freezer.wait_until_resumed(&from).await;
             self.world.freezer.wait_until_resumed(&to).await;
-            // What a cut holds up is lost.
+            // Frames that arrive during a cut are lost.
             let isolated = *self.isolated.lock().unwrap();
             let is_silent = generation != self.generation.load(Ordering::Relaxed);
             let is_withheld = carries_store_updates(&frame)
@@ -183,7 +184,7 @@
         }
     }
 
-    /// When `len` bytes that the process `from` sends now have left it.
+    /// When process `from` will have finished sending `len` bytes that it queues now.
     fn sent_at(&self, from: &str, len: usize) -> Instant {
         let now = Instant::now();
         let rate = self.send_rate.load(Ordering::Relaxed);
@@ -219,10 +220,10 @@
         let engine = engines.get(&peer).and_then(Weak::upgrade);
         let isolated = *self.isolated.lock().unwrap();
         let engine = engine.filter(|_| !isolated);
-        engine.ok_or_else(|| PeerError::Unreachable("away".to_owned()))
+        engine.ok_or_else(|| PeerError::Unreachable("isolated".to_owned()))
     }
 
-    /// Lets no process reach another.
+    /// Isolates all processes from one another, or reconnects them.
     pub fn set_isolated(&self, isolated: bool) {
         *self.isolated.lock().unwrap() = isolated;
     }
@@ -278,7 +279,7 @@
     }
 }
 
-/// Whether a frame tells what its sender knows of the store.
+/// Whether a frame carries the sender's knowledge of the store.
 fn carries_store_updates(frame: &Bytes) -> bool {
     let is_answer = matches!(
         decode(frame),
@@ -287,8 +288,7 @@
     is_answer || matches!(decode(frame), Some(ToHome::PromotionLease(_)))
 }
 
-/// The frame with the tenants "one" and "two" in each other's place, as texts of three bytes
-/// are encoded.
+/// Swaps the tenant names "one" and "two" in a frame, in the encoding of strings of three bytes.
 fn with_tenants_swapped(frame: &Bytes) -> Bytes {
     let (one, two) = (b"\xa3one", b"\xa3two");
     let mut swapped = frame.to_vec();
--- a/crates/engine/tests/support/records.rs
+++ b/crates/engine/tests/support/records.rs
@@ -1,4 +1,4 @@
-//! A store of records in memory, with the faults that the platform's store has.
+//! In-memory record store that simulates the faults of the platform's store.
 
 use super::freezer::Freezer;
 use async_trait::async_trait;
@@ -13,19 +13,19 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Time that a call takes.
+/// Duration of a call.
 const CALL_LATENCY: Duration = Duration::from_millis(2);
 
-/// A fault of the store.
+/// A fault of the store, for all processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Fault {
     #[default]
     None,
-    /// Every call is refused.
+    /// Refuses every call.
     Refusing,
-    /// No call is answered; nothing is done.
+    /// Answers no call and changes nothing.
     Silent,
-    /// Writes are done, and their answers lost.
+    /// Executes writes but loses their answers.
     LosingAnswers,
 }
 
@@ -34,7 +34,7 @@
     rows: BTreeMap<String, Record>,
     version: u64,
     fault: Fault,
-    /// What some processes are shown in place of what is there: a planted mistake.
+    /// Injected bug: an old state that some processes read instead of the current one.
     stale_state: Option<(BTreeMap<String, Record>, u64)>,
     stale_nodes: HashSet<String>,
     falsely_renewed_nodes: HashSet<String>,
@@ -46,14 +46,14 @@
     roster_puts: u64,
 }
 
-/// What the store held at a moment.
+/// A backup of the store.
 #[derive(Debug, Clone)]
 pub struct Backup {
     rows: BTreeMap<String, Record>,
     number: u64,
 }
 
-/// The store, shared by all processes.
+/// The record store, shared by all processes.
 #[derive(Debug)]
 pub struct MemoryRecords {
     state: Mutex<State>,
@@ -70,7 +70,7 @@
         })
     }
 
-    /// The store as one process reaches it.
+    /// The store as accessed by one process.
     pub fn for_node(self: &Arc<Self>, node: &str) -> Arc<NodeRecords> {
         Arc::new(NodeRecords {
             store: Arc::clone(self),
@@ -82,21 +82,22 @@
         self.state.lock().unwrap().fault = fault;
     }
 
-    /// Shows one process nothing newer than now: no such store may be built upon.
+    /// From now on, shows one process only the current state. Reads are then not linearizable,
+    /// which violates the requirements on the store.
     pub fn serve_stale_data_to(&self, node: &str) {
         let mut state = self.state.lock().unwrap();
         state.stale_state = Some((state.rows.clone(), state.version));
         state.stale_nodes.insert(node.to_owned());
     }
 
-    /// Lets one process believe that its lease is renewed, whoever has taken it: as if it
-    /// did not check it. No such store may be built upon.
+    /// Confirms every lease renewal of one process, even if another process holds the lease, as if
+    /// the process ignored conflicts. This violates the requirements on the store.
     pub fn fake_renewals_for(&self, node: &str) {
         let mut state = self.state.lock().unwrap();
         state.falsely_renewed_nodes.insert(node.to_owned());
     }
 
-    /// Turns one process away, or serves it again.
+    /// Refuses all calls of one process, or serves them again.
     pub fn refuse_node(&self, node: &str, refused: bool) {
         let mut state = self.state.lock().unwrap();
         match refused {
@@ -105,13 +106,13 @@
         };
     }
 
-    /// Answers one process no more.
+    /// Stops answering one process.
     pub fn ignore_node(&self, node: &str) {
         let mut state = self.state.lock().unwrap();
         state.ignored_nodes.insert(node.to_owned());
     }
 
-    /// Whether the process called `node` is answered.
+    /// Whether calls of the process `node` are answered.
     pub fn serves(&self, node: &str) -> bool {
         let state = self.state.lock().unwrap();
         let is_refused = state.refused_nodes.contains(node) || state.ignored_nodes.contains(node);
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Goes back to a copy: what was written since is lost, and its versions are given out again.
+    /// Restores a backup. Later writes are lost, and their version numbers are assigned again, in
+    /// a new era.
     pub fn restore(&self, backup: Backup) {
         let mut state = self.state.lock().unwrap();
         let era = era_of(state.version) + 1;
@@ -140,7 +142,7 @@
         self.changes.send_replace(newest);
     }
 
-    /// Writes a record that no feed tells of any more.
+    /// Writes a record without notifying watchers, and with a version that they have passed.
     pub fn put_without_notification(&self, key: &str) {
         let record = Record {
             key: key.to_owned(),
@@ -155,17 +157,17 @@
         self.state.lock().unwrap().rows.get(key).cloned()
     }
 
-    /// How often everything was read.
+    /// Number of reads of the whole store.
     pub fn full_reads(&self) -> u64 {
         self.state.lock().unwrap().full_reads
     }
 
-    /// How often the records of a block of groups were read.
+    /// Number of reads of the term records of a block of groups.
     pub fn block_reads(&self) -> u64 {
         self.state.lock().unwrap().block_reads
     }
 
-    /// How often records of the members of groups were written, one or several at a time.
+    /// Number of calls that wrote roster records, one or several each.
     pub fn roster_puts(&self) -> u64 {
         self.state.lock().unwrap().roster_puts
     }
@@ -175,7 +177,7 @@
     }
 }
 
-/// The store as one process reaches it.
+/// The store as accessed by one process.
 #[derive(Debug)]
 pub struct NodeRecords {
     store: Arc<MemoryRecords>,
@@ -183,7 +185,7 @@
 }
 
 impl NodeRecords {
-    /// What a reading shows to this process.
+    /// The rows and the version that this process reads.
     fn visible_rows(&self) -> (BTreeMap<String, Record>, u64) {
         let state = self.store.state.lock().unwrap();
         let present = (state.rows.clone(), state.version);
@@ -212,7 +214,7 @@
         })
     }
 
-    /// Lets a call take its time, and fail as the present fault says.
+    /// Simulates the duration of a call and applies the current fault.
     async fn begin_call(&self) -> Result<Fault, RecordStoreError> {
         sleep(CALL_LATENCY).await;
         let (fault, refused) = {
@@ -230,7 +232,9 @@
                 sleep(Duration::from_millis(1_500)).await;
                 Err(RecordStoreError::Unknown("timed out".to_owned()))
             }
-            _ if refused => Err(RecordStoreError::Unavailable("turned away".to_owned())),
+            _ if refused => Err(RecordStoreError::Unavailable(
+                "refused for this process".to_owned(),
+            )),
             fault => Ok(fault),
         }
     }
@@ -304,7 +308,7 @@
         self.store.changes.send_replace(version);
         self.store.freezer.wait_until_resumed(&self.node).await;
         match fault {
-            Fault::LosingAnswers => Err(RecordStoreError::Unknown("lost".to_owned())),
+            Fault::LosingAnswers => Err(RecordStoreError::Unknown("answer lost".to_owned())),
             _ => Ok(PutOutcome::Stored(version)),
         }
     }
--- a/crates/engine/tests/support/servers/connection.rs
+++ b/crates/engine/tests/support/servers/connection.rs
@@ -1,4 +1,4 @@
-//! Connections of processes to servers.
+//! Connections of processes to the simulated servers.
 
 use super::{ROUND_TRIP, ReadLog, ServerSnapshot, World};
 use async_trait::async_trait;
@@ -19,15 +19,15 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, sleep};
 
-/// Time that a statement runs.
+/// Execution time of a statement on a server that isn't slowed down.
 const STATEMENT_TIME: Duration = Duration::from_millis(4);
-/// Entries of a read's log that are remembered: more than a leader can lose.
+/// Number of trailing log entries recorded for a read: more than a leader can lose.
 const READ_TAIL_LEN: usize = 40;
 
-/// A place at a server while a statement runs, where places are limited.
+/// Permit for running a statement; `None` if the server has no limit.
 type SlotPermit = Option<OwnedSemaphorePermit>;
 
-/// Connects one process.
+/// Connects one process to the servers.
 #[derive(Debug)]
 pub struct WorldBackEnd {
     pub world: Arc<World>,
@@ -42,7 +42,8 @@
         tenant: Option<&TenantName>,
     ) -> Result<Box<dyn BackEndConnection>, ConnectError> {
         sleep(ROUND_TRIP).await;
-        // Servers are called by their names only: the next life answers for the one before.
+        // Only the server's name matters for reaching it, so a connection to an earlier incarnation
+        // reaches the current one.
         let name = server_name(&member.id);
         let server = self.world.snapshot(name);
         if server.unresponsive || !self.world.network.reaches(&self.node, name) {
@@ -76,7 +77,7 @@
     }
 }
 
-/// The caller's request, where `command` is a statement of one.
+/// The id of the caller's request, if `command` runs or commits one.
 fn statement_id(command: &Command) -> Option<&str> {
     match command {
         Command::Run { id, .. } | Command::Execute { id, .. } | Command::Commit { id } => Some(id),
@@ -113,7 +114,7 @@
 }
 
 impl WorldConnection {
-    /// The server as it answers; never resolves where it says nothing.
+    /// Returns the server's state for an answer. Never resolves if the server doesn't answer.
     async fn reach(&self) -> Result<ServerSnapshot, BackEndConnectionError> {
         let server = self.world.snapshot(&self.server);
         let is_silent = self.generation != self.world.generation.load(Ordering::Relaxed);
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Remembers the log that a read sees; returns its length.
+    /// Records the log that a read sees; returns its length.
     fn record_read(&self, id: &str) -> usize {
         let servers = self.world.lock();
         let server = &servers[&self.server];
@@ -229,7 +230,7 @@
         applied
     }
 
-    /// Appends entries and waits until a replica has received them.
+    /// Appends log entries and waits until a replica has received them.
     async fn commit_entries(
         &mut self,
         ids: Vec<String>,
@@ -246,13 +247,15 @@
             let server = self.reach().await?;
             if server.role != Role::Primary {
                 return Err(BackEndConnectionError::Closed(
-                    "it leads no more".to_owned(),
+                    "the server is no longer the leader".to_owned(),
                 ));
             }
         }
         let server = self.reach().await?;
         if server.closes_before_answer {
-            return Err(BackEndConnectionError::Closed("broken off".to_owned()));
+            return Err(BackEndConnectionError::Closed(
+                "closed before the answer".to_owned(),
+            ));
         }
         if server.loses_answers {
             pending::<()>().await;
@@ -368,10 +371,10 @@
         let server = self.reach().await?;
         if server.queue_full {
             return Err(BackEndConnectionError::Refused(
-                "its queue is full".to_owned(),
+                "the server's queue is full".to_owned(),
             ));
         }
-        let refused = || BackEndConnectionError::Refused("no such order".to_owned());
+        let refused = || BackEndConnectionError::Refused("the term isn't newer".to_owned());
         match control {
             Control::Status => {}
             Control::Pause(term) if term > server.term => {
@@ -394,7 +397,7 @@
     }
 }
 
-/// A place at the server called `name`: `None` where its queue is full.
+/// Waits for a slot at the server `name`; `None` if its queue is full.
 async fn enter(world: &World, name: &str) -> Option<SlotPermit> {
     match world.slots_of(name) {
         Some(slots) => slots.enter().await.map(Some),
--- a/crates/engine/tests/support/servers/mod.rs
+++ b/crates/engine/tests/support/servers/mod.rs
@@ -1,4 +1,4 @@
-//! Servers in memory: a replicated log, roles, terms, and the orders about them.
+//! Simulated servers: a replicated log, roles, terms, and the control commands for them.
 
 mod connection;
 mod network;
@@ -17,49 +17,49 @@
 use stilequay_engine::position::LogPosition;
 use tokio::time::Instant;
 
-/// Time from a process to a server and back.
+/// Round-trip time between a process and a server.
 const ROUND_TRIP: Duration = Duration::from_millis(2);
 
-/// One server.
+/// State and injected faults of one server.
 #[derive(Debug, Clone)]
 pub struct Server {
     pub role: Role,
     pub term: u64,
-    /// The terms of the log's entries, with the ids of the requests that wrote them.
+    /// The log: the term of each entry and the id of the request that wrote it.
     pub log: Vec<(u64, String)>,
     pub paused_for: u64,
-    /// Its life: the start that its entry tells, if it tells one.
+    /// The start of its incarnation, if its directory entry reports one.
     pub started_at: Option<u64>,
-    /// Process is there.
+    /// Whether the server is running.
     pub running: bool,
-    /// Says nothing to anybody.
+    /// Answers nothing, and receives nothing from the leader.
     pub unresponsive: bool,
-    /// Receives nothing.
+    /// Receives nothing from the leader.
     pub not_receiving: bool,
-    /// Refuses every new connection: it has too many.
+    /// Refuses every new connection because it has too many.
     pub connections_exhausted: bool,
-    /// Connections that it accepts; any number where there is none.
+    /// Maximum number of open connections, if there is a limit.
     pub max_connections: Option<usize>,
-    /// Answers every statement and order that its queue is full.
+    /// Refuses every statement and control command because its queue is full.
     pub queue_full: bool,
-    /// Runs statements and loses their answers.
+    /// Executes commits and loses their answers.
     pub loses_answers: bool,
-    /// Breaks connections off in place of an answer.
+    /// Executes commits and closes the connection instead of answering.
     pub closes_before_answer: bool,
     pub state: MemberState,
-    /// How many times longer statements take.
+    /// Factor by which statements take longer.
     pub slowdown: u32,
-    /// How far behind it applies what it has received.
+    /// Delay between receiving and applying a log entry.
     pub apply_lag: Duration,
     pub received_at: Vec<Instant>,
-    /// Entries that it had as leader: it goes on showing them when it leads no more.
+    /// Number of entries that it had applied as the leader. Reads still see them after a demotion.
     pub applied_as_leader: usize,
-    /// Says that it has paused, and goes on receiving: a planted mistake.
+    /// Injected bug: it reports that it has paused but continues to receive.
     pub ignores_pause: bool,
     pub statements: u64,
-    /// When it was last sent a command of a session.
+    /// When it last received a command of a session.
     pub last_command: Option<Instant>,
-    /// Until when its entry says that it is cold.
+    /// Until when its directory entry reports that it is cold.
     pub cold_until: Option<Instant>,
 }
 
@@ -69,7 +69,7 @@
         LogPosition::new(term, self.log.len() as u64)
     }
 
-    /// Entries that reads see.
+    /// Number of log entries that reads see.
     pub fn applied(&self, now: Instant) -> usize {
         if self.role == Role::Primary {
             return self.log.len();
@@ -80,7 +80,7 @@
         applied.max(self.applied_as_leader).min(self.log.len())
     }
 
-    /// Starts it again under its name: it holds nothing of before, and knows of no lead.
+    /// Restarts it under its name as a replica in term 1, with an empty log.
     pub fn start_empty(&mut self) {
         self.started_at = Some(self.started_at.map_or(1, |started_at| started_at + 1));
         self.role = Role::Replica;
@@ -93,7 +93,7 @@
         self.unresponsive = false;
     }
 
-    /// Takes the lead away from it: its log stays, and so does what reads see of it.
+    /// Demotes it to a replica. It keeps its log, and reads still see all of it.
     pub fn step_down(&mut self) {
         if self.role == Role::Primary {
             self.applied_as_leader = self.log.len();
@@ -102,7 +102,7 @@
     }
 }
 
-/// What a connection needs to know of its server.
+/// The state of a server that connections and the promoter need.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerSnapshot {
     pub role: Role,
@@ -138,7 +138,7 @@
     }
 }
 
-/// What a read saw: how many entries, and the last of them.
+/// What a read saw: the number of log entries, and the ids of the last ones.
 #[derive(Debug, Clone, Default)]
 pub struct ReadLog {
     pub applied: usize,
--- a/crates/engine/tests/support/servers/network.rs
+++ b/crates/engine/tests/support/servers/network.rs
@@ -1,16 +1,16 @@
-//! Which processes reach which servers.
+//! Reachability between processes and servers.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
 
-/// Which processes reach which servers, and which servers reach one another.
+/// The pairs of processes and servers that can't reach each other. All others can.
 #[derive(Debug, Default)]
 pub struct Network {
     cut: Mutex<HashSet<(String, String)>>,
 }
 
 impl Network {
-    /// Cuts `one` from `other`, both ways.
+    /// Cuts the connection between `one` and `other` in both directions.
     pub fn cut(&self, one: &str, other: &str) {
         self.cut.lock().unwrap().insert(pair(one, other));
     }
--- a/crates/engine/tests/support/servers/promoter.rs
+++ b/crates/engine/tests/support/servers/promoter.rs
@@ -1,4 +1,4 @@
-//! The service that carries promotions out.
+//! Simulated promotion service.
 
 use super::{ROUND_TRIP, World};
 use async_trait::async_trait;
@@ -9,10 +9,10 @@
 use stilequay_engine::ports::{PromoteError, Promoter, PromotionOrder};
 use tokio::time::sleep;
 
-/// Time from an order to its effect.
+/// Time from a promotion order until it takes effect.
 const PROMOTION_TIME: Duration = Duration::from_millis(300);
 
-/// Carries promotions out.
+/// Executes promotion orders on the simulated servers.
 #[derive(Debug)]
 pub struct WorldPromoter {
     pub world: Arc<World>,
@@ -34,7 +34,7 @@
         let world = Arc::clone(&self.world);
         tokio::spawn(async move {
             sleep(PROMOTION_TIME).await;
-            // A server that has started again meanwhile knows nothing of the order.
+            // A server that has restarted in the meantime doesn't execute the order.
             let present = world.snapshot(&target);
             if !present.running || present.started_at != server.started_at {
                 return;
--- a/crates/engine/tests/support/servers/slots.rs
+++ b/crates/engine/tests/support/servers/slots.rs
@@ -1,10 +1,10 @@
-//! How many statements a server runs at a time, and how many wait.
+//! Limits on the statements that a server runs concurrently and on those that wait.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// The places at one server.
+/// The execution slots and the wait queue of one server.
 #[derive(Debug)]
 pub struct Slots {
     running: Arc<Semaphore>,
@@ -13,7 +13,7 @@
 }
 
 impl Slots {
-    /// Room for `running` statements, and for `queue` that wait.
+    /// Creates `running` slots and a queue for `queue` waiting statements.
     pub fn new(running: usize, queue: usize) -> Arc<Self> {
         Arc::new(Self {
             running: Arc::new(Semaphore::new(running)),
@@ -22,7 +22,7 @@
         })
     }
 
-    /// Waits for a place to run; none where the queue is full.
+    /// Waits for a slot; `None` if the queue is full.
     pub async fn enter(&self) -> Option<OwnedSemaphorePermit> {
         let running = Arc::clone(&self.running);
         if let Ok(permit) = Arc::clone(&running).try_acquire_owned() {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Counts one that waits, also where it gives up.
+/// Counts a waiting statement until it is dropped, so also if the wait is cancelled.
 struct Waiting<'a>(&'a AtomicUsize);
 
 impl<'a> Waiting<'a> {
--- a/crates/engine/tests/support/servers/world.rs
+++ b/crates/engine/tests/support/servers/world.rs
@@ -1,4 +1,4 @@
-//! All servers, and what they do to one another.
+//! The simulated servers, with replication and changes of leader between them.
 
 use super::network::Network;
 use super::{ReadLog, Server, ServerSnapshot, Slots};
@@ -13,39 +13,39 @@
 use stilequay_engine::ports::PromotionOrder;
 use tokio::time::{Instant, sleep};
 
-/// Time after which an old leader that can reach the new one gives up.
+/// Interval at which old leaders that can reach the new one are demoted.
 const OLD_LEADER_DEMOTION_DELAY: Duration = Duration::from_secs(1);
 
-/// All servers of the only group.
+/// All servers of the simulated group, and the network.
 #[derive(Debug)]
 pub struct World {
     servers: Mutex<BTreeMap<String, Server>>,
     pub network: Network,
     pub(super) promotions: Mutex<Vec<PromotionOrder>>,
-    /// What each read's log held, by request.
+    /// The log that each read saw, by request id.
     pub(super) reads: Mutex<HashMap<String, ReadLog>>,
-    /// The tenant that the server was told for each statement that it ran, by request.
+    /// The tenant that the server received with each statement that it ran, by request id.
     pub(super) tenants: Mutex<HashMap<String, Option<TenantName>>>,
-    /// Which statement has arrived at which server, run or not.
+    /// Request ids of the statements that arrived at a server, run or not, with the server.
     pub(super) arrivals: Mutex<Vec<(String, String)>>,
-    /// When which tenant's statements have run.
+    /// When statements of tenants ran, with the tenant.
     pub(super) runs: Mutex<Vec<(Instant, TenantName)>>,
-    /// Connections of an earlier generation are answered no more, and don't end.
+    /// Connections of an earlier generation get no more answers but stay open.
     pub(super) generation: AtomicU64,
-    /// Connections that stand at each server.
+    /// Number of open connections to each server.
     pub(super) connections: Mutex<HashMap<String, usize>>,
-    /// Entries that are left out of the directory: a planted mistake.
+    /// Injected fault: servers whose entries are missing from the directory.
     pub unlisted: Mutex<HashSet<String>>,
-    /// Entries of members of other groups, which nobody asks.
+    /// Directory entries of members of other groups, which receive no requests.
     pub other_members: Mutex<Vec<Member>>,
-    /// Processes that stand still.
+    /// The frozen processes.
     pub freezer: Freezer,
-    /// Places of each server; without limit where there are none.
+    /// The execution slots of each server that has a limit.
     slots: Mutex<HashMap<String, Arc<Slots>>>,
 }
 
 impl World {
-    /// Servers called `names`; the first leads in term 1.
+    /// Creates the servers `names`. The first is the leader of term 1.
     pub fn new(names: &[&str]) -> Arc<Self> {
         let server = |role| Server {
             role,
@@ -95,30 +95,30 @@
         })
     }
 
-    /// The tenant that a server was told for the statement `id`; `None` where none ran it.
+    /// The tenant that a server received with the statement `id`; `None` if no server ran it.
     pub fn tenant_received(&self, id: &str) -> Option<Option<TenantName>> {
         self.tenants.lock().unwrap().get(id).cloned()
     }
 
-    /// Lets all connections go silent for good; new ones work.
+    /// Makes all open connections permanently silent. New connections work.
     pub fn silence_connections(&self) {
         self.generation.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Connections that stand at the server called `name`.
+    /// The number of open connections to the server `name`.
     pub fn open_connections(&self, name: &str) -> usize {
         let connections = self.connections.lock().unwrap();
         connections.get(name).copied().unwrap_or(0)
     }
 
-    /// When statements of `tenant` have begun to run, in order.
+    /// When statements of `tenant` ran, in order.
     pub fn run_times(&self, tenant: &str) -> Vec<Instant> {
         let runs = self.runs.lock().unwrap();
         let of_tenant = runs.iter().filter(|(_, name)| &**name == tenant);
         of_tenant.map(|(at, _)| *at).collect()
     }
 
-    /// The servers at which the statement `id` has arrived, in order.
+    /// The servers at which the statement `id` arrived, in order.
     pub fn servers_reached(&self, id: &str) -> Vec<String> {
         let arrivals = self.arrivals.lock().unwrap();
         let of_statement = arrivals.iter().filter(|(statement, _)| statement == id);
@@ -142,7 +142,7 @@
         change(self.lock().get_mut(name).expect("a server"));
     }
 
-    /// Gives every server room for `running` statements, and `queue` more that wait.
+    /// Limits every server to `running` concurrent and `queue` waiting statements.
     pub fn set_slot_limits(&self, running: usize, queue: usize) {
         let names: Vec<String> = self.lock().keys().cloned().collect();
         let mut slots = self.slots.lock().unwrap();
@@ -165,7 +165,7 @@
         ServerSnapshot::of(&self.lock()[name])
     }
 
-    /// A crash: connections end, the log stays.
+    /// Crashes a server: its connections are closed, and its log is kept.
     pub fn crash(&self, name: &str) {
         self.change(name, |server| {
             server.running = false;
@@ -173,7 +173,7 @@
         });
     }
 
-    /// Back after a crash: as a replica, if another was promoted meanwhile.
+    /// Restarts a server after a crash, as a replica if another was promoted in the meantime.
     pub fn restart(&self, name: &str) {
         let newest = self.newest_leader();
         self.change(name, |server| {
@@ -185,7 +185,7 @@
         });
     }
 
-    /// Back under its name after a crash, with nothing of before.
+    /// Restarts a server under its name with an empty log.
     pub fn start_empty(&self, name: &str) {
         self.change(name, Server::start_empty);
     }
@@ -197,7 +197,7 @@
         newest.map(|(name, s)| (name.clone(), s.term))
     }
 
-    /// The leader of the newest term; while nobody leads, whoever has received most.
+    /// The leader of the newest term. If there is none, the server that has received the most.
     pub fn leader(&self) -> String {
         let newest = self.newest_leader().map(|(name, _)| name);
         let servers = self.lock();
@@ -209,13 +209,13 @@
         self.promotions.lock().unwrap().clone()
     }
 
-    /// The log on which `request` read.
+    /// The log that the read `request` saw.
     pub fn log_read_by(&self, request: &str) -> ReadLog {
         let reads = self.reads.lock().unwrap();
         reads.get(request).cloned().unwrap_or_default()
     }
 
-    /// The servers' entries.
+    /// The directory entries of the servers.
     pub fn entries(&self) -> Vec<Member> {
         let servers = self.lock();
         let unlisted = self.unlisted.lock().unwrap();
@@ -239,7 +239,7 @@
         self.servers.lock().unwrap()
     }
 
-    /// Sends the leader's log to the replicas that receive; returns how many have it all.
+    /// Replicates the leader's log to all replicas that can receive it; returns how many did.
     pub(super) fn replicate(&self, leader: &str) -> usize {
         let now = Instant::now();
         let mut servers = self.lock();
@@ -266,7 +266,7 @@
         received
     }
 
-    /// A promotion ends the pause of every replica that hears of it.
+    /// Moves every replica that the new leader reaches to the new term and log, and ends its pause.
     pub(super) fn announce_promotion(&self, leader: &str) {
         let mut servers = self.lock();
         let (term, log) = (servers[leader].term, servers[leader].log.clone());
@@ -284,7 +284,7 @@
         }
     }
 
-    /// A leader that can reach a newer one gives up after a while.
+    /// Repeatedly demotes old leaders that can reach the new one.
     pub(super) fn demote_old_leaders(self: &Arc<Self>, new: &str) {
         let world = Arc::clone(self);
         let new = new.to_owned();
@@ -308,13 +308,13 @@
     }
 }
 
-/// Where the server called `name` listens.
+/// The address of the server `name`.
 fn address_of(name: &str) -> SocketAddr {
     let last = name.bytes().next().unwrap_or(0);
     SocketAddr::from(([10, 0, 0, last], 5000))
 }
 
-/// Takes what `log` has, dropping what differs from it.
+/// Makes the log of `server` equal to `log`, dropping entries that diverge from it.
 fn sync_log(server: &mut Server, log: &[(u64, String)], now: Instant) {
     let last = server.log.len().checked_sub(1);
     let is_prefix = last.is_none_or(|last| server.log.get(last) == log.get(last));
--- a/crates/engine/tests/vouching.rs
+++ b/crates/engine/tests/vouching.rs
@@ -17,53 +17,53 @@
 /// Processes of a fleet in which homes hold the connections and an index names the holder.
 const PROCESSES: usize = 20;
 /// Time in which a fleet comes to rest: its index is written, and has reached all.
-const REST: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 /// Time in which a lost holder has a successor, which all know by the index.
-const SUCCESSION: Duration = Duration::from_secs(8);
+const SUCCESSION_TIME: Duration = Duration::from_secs(8);
 /// Time over which readings are counted; evidence lasts for a small part of it.
-const COUNTED: Duration = Duration::from_secs(10);
+const MEASURED_PERIOD: Duration = Duration::from_secs(10);
 
 /// A fleet whose callers only read, from the leader: no commits bring evidence.
 async fn reading_fleet() -> (Fleet, Arc<History>, Vec<JoinHandle<()>>) {
     let fleet = Fleet::start(PROCESSES).await;
     let history = Arc::new(History::default());
     let readers = fleet.spawn_readers(&history);
-    sleep(REST).await;
+    sleep(SETTLE_TIME).await;
     (fleet, history, readers)
 }
 
 /// Reads answered, and readings of records at the store, in the time that is counted.
-async fn counted(fleet: &Fleet, history: &History) -> (usize, u64) {
+async fn measure(fleet: &Fleet, history: &History) -> (usize, u64) {
     let (_, reads) = history.counts();
     let block_reads = fleet.records.block_reads();
-    sleep(COUNTED).await;
+    sleep(MEASURED_PERIOD).await;
     let (_, answered) = history.counts();
     (answered - reads, fleet.records.block_reads() - block_reads)
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_fleet_that_only_reads_does_not_read_records_at_the_store() {
+async fn read_only_fleet_does_not_read_term_records_from_the_store() {
     let (fleet, history, _) = reading_fleet().await;
-    let (answered, block_reads) = counted(&fleet, &history).await;
+    let (answered, block_reads) = measure(&fleet, &history).await;
     assert!(answered > 100 * PROCESSES, "{answered}");
     assert_eq!(block_reads, 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_successor_of_a_lost_holder_vouches() {
+async fn successor_of_a_lost_holder_confirms_terms() {
     let (mut fleet, history, readers) = reading_fleet().await;
     let holder = fleet.holder();
     readers[holder].abort();
     fleet.kill(holder);
-    sleep(SUCCESSION).await;
-    let (answered, block_reads) = counted(&fleet, &history).await;
+    sleep(SUCCESSION_TIME).await;
+    let (answered, block_reads) = measure(&fleet, &history).await;
     assert!(answered > 100 * (PROCESSES - 1), "{answered}");
     assert_eq!(block_reads, 0);
 }
 
 /// No answers of the holder arrive: each keeper goes to the store, as if nobody vouched.
 #[tokio::test(start_paused = true)]
-async fn reads_are_answered_while_the_holder_is_not_reached() {
+async fn reads_are_answered_while_the_holder_is_unreachable() {
     let (fleet, _, _) = reading_fleet().await;
     let holder = fleet.holder();
     let holder_name = fleet.nodes[holder].name.clone();
@@ -76,13 +76,13 @@
         let mut client = fleet.session(node, LEADER_DATABASE);
         let began = Instant::now();
         while client.read("x").await.outcome.is_err() {
-            assert!(began.elapsed() < SUCCESSION, "process {node}");
+            assert!(began.elapsed() < SUCCESSION_TIME, "process {node}");
         }
     }
 }
 
 /// What the process `to` vouches for when `from` asks it.
-async fn vouched(fleet: &Fleet, from: usize, to: usize) -> Option<StoreVersion> {
+async fn confirmed_version(fleet: &Fleet, from: usize, to: usize) -> Option<StoreVersion> {
     let network = fleet.peers.for_node(&fleet.nodes[from].name);
     let address = MemoryPeers::address_of(&fleet.nodes[to].name);
     let mut link = network.open_link(address).await.expect("a link");
@@ -96,26 +96,26 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_holder_of_the_lease_vouches_and_nobody_else() {
+async fn only_the_lease_holder_confirms_terms() {
     let (fleet, _, _) = reading_fleet().await;
     let holder = fleet.holder();
     for node in 0..PROCESSES {
         let asker = (node + 1) % PROCESSES;
-        let version = vouched(&fleet, asker, node).await;
+        let version = confirmed_version(&fleet, asker, node).await;
         assert_eq!(version.is_some(), node == holder, "process {node}");
     }
 }
 
 /// It stood still while another took the lease, and may not have noticed.
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_stood_still_vouches_no_more() {
+async fn holder_that_was_frozen_past_its_lease_does_not_confirm_terms() {
     let (fleet, _, _) = reading_fleet().await;
     let holder = fleet.holder();
     let name = fleet.nodes[holder].name.clone();
     fleet.freeze(&name, true);
     until(|| fleet.holder() != holder).await;
     let asker = (holder + 1) % PROCESSES;
-    let (version, ()) = tokio::join!(vouched(&fleet, asker, holder), async {
+    let (version, ()) = tokio::join!(confirmed_version(&fleet, asker, holder), async {
         sleep(Duration::from_millis(10)).await;
         fleet.freeze(&name, false);
     });
@@ -124,16 +124,19 @@
 
 /// A change of leader is vouched for with the version of its record.
 #[tokio::test(start_paused = true)]
-async fn a_holder_vouches_for_the_leader_that_it_has_made() {
+async fn holder_confirms_the_term_of_the_leader_that_it_promoted() {
     let (fleet, history, _) = reading_fleet().await;
     let holder = fleet.holder();
     let asker = (holder + 1) % PROCESSES;
-    assert_eq!(vouched(&fleet, asker, holder).await, Some(0));
+    assert_eq!(confirmed_version(&fleet, asker, holder).await, Some(0));
     fleet.world.crash("a");
     fleet.spawn_callers(&history);
     let group = fleet.nodes[holder].engine.group(&Arc::from(GROUP));
     until(|| group.view().epoch == 1 && group.view().confirmed).await;
     let key = TermRecord::key(&Arc::from(GROUP));
     let recorded = fleet.records.get(&key).expect("a record").version;
-    assert_eq!(vouched(&fleet, asker, holder).await, Some(recorded));
+    assert_eq!(
+        confirmed_version(&fleet, asker, holder).await,
+        Some(recorded)
+    );
 }
--- a/crates/engine/tests/writes.rs
+++ b/crates/engine/tests/writes.rs
@@ -31,23 +31,18 @@
 
 /// What the caller is told, and how many commits there are in the end.
 #[rstest]
-#[case::its_queue_is_full(queue_full, Verdict::NotRun, FailureReason::Overloaded, 0)]
-#[case::it_takes_no_connection(
-    connections_exhausted,
-    Verdict::NotRun,
-    FailureReason::Overloaded,
-    0
-)]
-#[case::its_answer_is_lost(loses_answers, Verdict::MayHaveRun, FailureReason::AnswerTimedOut, 1)]
-#[case::it_breaks_off(
+#[case::queue_is_full(queue_full, Verdict::NotRun, FailureReason::Overloaded, 0)]
+#[case::no_connections_left(connections_exhausted, Verdict::NotRun, FailureReason::Overloaded, 0)]
+#[case::answer_is_lost(loses_answers, Verdict::MayHaveRun, FailureReason::AnswerTimedOut, 1)]
+#[case::connection_closes_before_the_answer(
     closes_before_answer,
     Verdict::MayHaveRun,
     FailureReason::ConnectionLost,
     1
 )]
-#[case::it_says_nothing(unresponsive, Verdict::NotRun, FailureReason::Overloaded, 0)]
+#[case::server_does_not_answer(unresponsive, Verdict::NotRun, FailureReason::Overloaded, 0)]
 #[tokio::test(start_paused = true)]
-async fn a_write_that_fails_is_told_truly_and_never_runs_twice(
+async fn failed_write_is_reported_correctly_and_never_runs_twice(
     #[case] fault: fn(&mut Server),
     #[case] verdict: Verdict,
     #[case] reason: FailureReason,
@@ -67,7 +62,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_commit_whose_answer_is_lost_may_have_run() {
+async fn commit_whose_answer_is_lost_may_have_run() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     client.begin(false).await;
@@ -79,7 +74,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_commit_that_wrote_nothing_is_promised_to_be_nothing() {
+async fn commit_without_writes_is_reported_as_not_run() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     client.begin(false).await;
@@ -90,7 +85,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_commit_that_no_replica_receives_is_not_acknowledged() {
+async fn commit_that_no_replica_receives_is_not_acknowledged() {
     let fleet = Fleet::start(1).await;
     fleet
         .world
