--- a/crates/engine/tests/beliefs.rs
+++ b/crates/engine/tests/beliefs.rs
@@ -1,4 +1,4 @@
-//! Who may believe what, for how long, on which evidence.
+//! Which evidence a process may rely on for which knowledge of a group, and for how long.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -54,7 +54,7 @@
     assert_eq!(leader(&group, Duration::ZERO).as_deref(), Some("a"));
     advance(TERM_LEASE - Duration::from_millis(150)).await;
     assert_eq!(leader(&group, Duration::ZERO), None);
-    // What may be older is served for as much longer.
+    // Reads that allow staleness may rely on the evidence for that much longer.
     assert_eq!(leader(&group, Duration::from_secs(1)).as_deref(), Some("a"));
 }
 
@@ -120,11 +120,11 @@
     group.apply_record(&promoting, Some(Instant::now()), Instant::now());
     assert_eq!(writable(&group), None);
     advance(TERM_LEASE / 2).await;
-    // Learned of again: the wait does not begin anew.
+    // Applying the record again doesn't restart the wait.
     group.apply_record(&promoting, Some(Instant::now()), Instant::now());
     advance(TERM_LEASE / 2 + Duration::from_millis(30)).await;
     assert_eq!(writable(&group).as_deref(), Some("b"));
-    // It may not have taken the lead yet: it is given writes, which it refuses, no reads.
+    // The target may not have taken over yet. It gets writes, which it would refuse, but no reads.
     assert_eq!(leader(&group, Duration::from_secs(9)), None);
     group.confirm_leader(&usable_leader("b", 1));
     assert_eq!(leader(&group, Duration::from_secs(9)).as_deref(), Some("b"));
@@ -163,14 +163,14 @@
     assert_eq!(group.covering_position(sent), None);
 }
 
-/// The old leader leads on in the epoch of its fence, and may answer late.
+/// The old leader still leads in the epoch that fences it, and may answer late.
 #[tokio::test(start_paused = true)]
 async fn position_of_the_old_leader_covers_nothing_once_another_is_chosen() {
     let group = group();
     group.apply_initial_leader(Some("a".into()), Some(Instant::now()));
     let fencing = record(1, TermPhase::Fencing, None);
     group.apply_record(&fencing, None, Instant::now());
-    let old = group.as_leader(&"a".into()).expect("it leads on");
+    let old = group.as_leader(&"a".into()).expect("still the leader");
     advance(TERM_LEASE).await;
     let sent = Instant::now();
     let active = record(1, TermPhase::Active, Some("b"));
@@ -199,8 +199,8 @@
 }
 
 proptest! {
-    /// Whatever samples there are, the one chosen covers the moment, and is the least of
-    /// its epoch that does, but for those left out for being close to another.
+    /// For any samples, the chosen position covers the given time and belongs to the latest epoch.
+    /// It is the lowest such position among the samples kept: samples close to another are dropped.
     #[test]
     fn the_position_chosen_covers_the_moment(
         steps in prop::collection::vec((0_u64..200, 0_u64..9, 0_u64..2), 1..200),
--- a/crates/engine/tests/choice.rs
+++ b/crates/engine/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which member may be promoted, from what the members told.
+//! Choice of the member to promote, from the reports of the members.
 
 use rstest::rstest;
 use std::collections::HashMap;
@@ -116,13 +116,13 @@
 #[case::longest_log_after_a_leader_crash([down(), paused(8), paused(7)], Ok("b".to_owned()))]
 #[case::one_replica_is_silent([silent(), paused(5), silent()], not_fenced("c"))]
 #[case::one_replica_is_down([silent(), paused(5), down()], may_hold_more("c"))]
-#[case::one_replica_is_full([silent(), paused(5), declined()], not_fenced("c"))]
+#[case::one_replica_refuses_connections([silent(), paused(5), declined()], not_fenced("c"))]
 #[case::one_replica_is_not_paused([silent(), paused(5), report(Role::Replica, 5, 0)], not_fenced("c"))]
-#[case::demoted_and_as_long([demoted(5), paused(5), silent()], Ok("b".to_owned()))]
-#[case::demoted_and_longer([demoted(9), paused(5), paused(7)], Ok("c".to_owned()))]
-#[case::demoted_longer_and_one_unread([demoted(9), paused(5), silent()], Ok("a".to_owned()))]
-#[case::nobody_else_answers([demoted(9), silent(), silent()], Ok("a".to_owned()))]
-#[case::nobody_answers([silent(), silent(), silent()], not_fenced("b"))]
+#[case::demoted_leader_has_an_equal_log([demoted(5), paused(5), silent()], Ok("b".to_owned()))]
+#[case::demoted_leader_has_a_longer_log([demoted(9), paused(5), paused(7)], Ok("c".to_owned()))]
+#[case::demoted_leader_has_a_longer_log_and_one_replica_is_silent([demoted(9), paused(5), silent()], Ok("a".to_owned()))]
+#[case::only_the_demoted_leader_answers([demoted(9), silent(), silent()], Ok("a".to_owned()))]
+#[case::no_member_answers([silent(), silent(), silent()], not_fenced("b"))]
 #[case::all_others_are_down([silent(), down(), down()], Err(Obstacle::NoCandidate))]
 fn member_with_every_acknowledged_commit_is_chosen(
     #[case] responses: [Response; 3],
@@ -205,9 +205,9 @@
 
 #[rstest]
 #[case::no_reports(vec![], 1)]
-#[case::above_every_term(vec![report(Role::Primary, 5, 0), report(Role::Replica, 5, 0)], 2)]
+#[case::newer_than_every_term(vec![report(Role::Primary, 5, 0), report(Role::Replica, 5, 0)], 2)]
 #[case::fence_already_started(vec![report(Role::Primary, 5, 0), report(Role::Replica, 5, 4)], 4)]
-fn fencing_term_is_newer_than_every_reported_term(
+fn fencing_term_is_accepted_by_every_reporting_member(
     #[case] reports: Vec<Response>,
     #[case] term: u64,
 ) {
@@ -232,15 +232,15 @@
     known
 }
 
-/// The old leader is `a`. A server that has started again holds nothing of before; its entry may
-/// not have told yet.
+/// The old leader is `a`. A server that has restarted has lost its log, and its directory entry
+/// may not show the restart yet.
 #[rstest]
 #[case::the_leader_is_empty([demoted(0), paused(5), paused(7)], None, Ok("c".to_owned()))]
-#[case::the_leader_is_empty_and_one_unread([demoted(0), paused(5), silent()], None, not_fenced("c"))]
-#[case::the_leader_is_empty_and_one_down([demoted(0), paused(5), down()], None, may_hold_more("c"))]
+#[case::the_leader_is_empty_and_one_replica_is_silent([demoted(0), paused(5), silent()], None, not_fenced("c"))]
+#[case::the_leader_is_empty_and_one_replica_is_down([demoted(0), paused(5), down()], None, may_hold_more("c"))]
 #[case::the_leader_has_less_than_a_replica([demoted(4), paused(5), silent()], None, not_fenced("c"))]
 #[case::the_leader_has_less_than_is_known([demoted(6), paused(5), silent()], Some(8), not_fenced("c"))]
-#[case::nobody_has_anything([demoted(0), paused(0), paused(0)], None, Ok("c".to_owned()))]
+#[case::all_logs_are_empty([demoted(0), paused(0), paused(0)], None, Ok("c".to_owned()))]
 fn log_that_cannot_be_the_old_leaders_proves_nothing(
     #[case] responses: [Response; 3],
     #[case] known: Option<u64>,
@@ -254,10 +254,10 @@
     assert_eq!(choose_with_known_position(&members, 1, known), expected);
 }
 
-/// The old leader is `a`, of whose server a later life answers.
+/// The old leader is `a`, and a later incarnation of its server answers.
 #[rstest]
-#[case::and_is_empty(demoted(0))]
-#[case::and_has_received_from_another(demoted(9))]
+#[case::empty(demoted(0))]
+#[case::received_from_another_leader(demoted(9))]
 fn later_incarnation_of_the_old_leader_does_not_have_its_log(#[case] response: Response) {
     let members = [
         ended_incarnation("a"),
@@ -268,11 +268,11 @@
     assert_eq!(choose_from(&members, 1), not_fenced("c"));
 }
 
-/// The old leader is `a`. The life of `c` that had received its commits has ended.
+/// The old leader is `a`. The incarnation of `c` that had received its commits has ended.
 #[rstest]
-#[case::and_the_other_lacks_some([silent(), paused(5)], Some(7), may_hold_more("c"))]
-#[case::and_the_other_has_all([silent(), paused(7)], Some(7), Ok("b".to_owned()))]
-#[case::and_the_leader_has_less([demoted(5), paused(5)], Some(7), may_hold_more("c"))]
+#[case::the_other_lacks_some([silent(), paused(5)], Some(7), may_hold_more("c"))]
+#[case::the_other_has_all([silent(), paused(7)], Some(7), Ok("b".to_owned()))]
+#[case::the_leader_has_less([demoted(5), paused(5)], Some(7), may_hold_more("c"))]
 fn commits_of_an_ended_incarnation_must_be_held_by_other_members(
     #[case] responses: [Response; 2],
     #[case] known: Option<u64>,
@@ -289,7 +289,7 @@
     assert_eq!(choose_with_known_position(&members, 1, known), expected);
 }
 
-/// The old leader is `a`, and one of its two replicas is not known.
+/// The old leader is `a`, and one of its two replicas is unknown.
 #[rstest]
 #[case::the_leader_is_silent(silent(), Err(Obstacle::TooFewKnown))]
 #[case::the_leader_is_down(down(), Err(Obstacle::TooFewKnown))]
--- a/crates/engine/tests/events.rs
+++ b/crates/engine/tests/events.rs
@@ -1,4 +1,4 @@
-//! The fields of events: whoever reads logs relies on them.
+//! The fields of events, which readers of logs rely on.
 
 use insta::assert_json_snapshot;
 use serde_json::Value;
--- a/crates/engine/tests/feeds.rs
+++ b/crates/engine/tests/feeds.rs
@@ -1,4 +1,4 @@
-//! How long calls that wait for changes in the store may wait.
+//! The timeout of calls that wait for changes in the store.
 
 mod support;
 
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use support::{Fleet, until};
 
-/// In a large fleet two processes follow the store, and the others learn from them: their
-/// waits are shorter, so that a call which is never answered is noticed in time by all.
+/// In a large fleet, two processes watch the store and the others get updates through them. Watch
+/// timeouts are shorter there, so that a call that is never answered is detected in time for all.
 #[rstest]
 #[case::one_process(1, 1_600)]
 #[case::small_fleet(6, 1_600)]
--- a/crates/engine/tests/fleet_start.rs
+++ b/crates/engine/tests/fleet_start.rs
@@ -1,5 +1,5 @@
-//! What a start costs the store: of a fleet that is new, of one that starts again, and of single
-//! processes.
+//! The store load caused by the start of a new fleet, by its restart and by the restart of a single
+//! process.
 
 mod support;
 
@@ -10,20 +10,21 @@
 use support::{Fleet, Node, OWN_DATABASE, until};
 use tokio::time::{Instant, sleep};
 
-/// Processes of the fleet, in five zones.
+/// Number of processes of the fleet, in five zones.
 const PROCESSES: usize = 100;
 const ZONES: &[&str] = &["zone-a", "zone-b", "zone-c", "zone-d", "zone-e"];
-/// Processes that may read whole tables: the first two of all, the holder of the lease, and two of
-/// each zone while the fleet is not known.
+/// Number of processes that may read whole tables: the first two of the fleet, the lease holder,
+/// and two of each zone while the fleet is unknown.
 const MAX_FULL_READS: u64 = 13;
-/// Calls of the store for each process in a start: of its index and records, and the writing of
-/// its own, with room for one that is done again.
+/// Maximum store calls per process during a start: reads of the index and of the records, and the
+/// write of its own record, with allowance for one retry.
 const MAX_CALLS_PER_PROCESS: u64 = 6;
-/// Groups that the processes of a large fleet are told of, of three members each.
+/// Number of groups, with three members each, whose data the processes of a large fleet receive.
 const GROUPS: usize = 300;
-/// Bytes a second of a follower whose ten askers wait some seconds for what it tells them.
+/// Send rate, in bytes per second, at which the ten clients of a relay wait several seconds for
+/// their data.
 const SLOW_SEND_RATE: u64 = 1_000_000;
-/// Time from a start of all until each process serves.
+/// Maximum time from the start of all processes until each one serves.
 const MAX_START_TIME: Duration = Duration::from_secs(4);
 
 fn knows_fleet(node: &Node) -> bool {
@@ -34,14 +35,14 @@
     until(|| fleet.nodes.iter().all(knows_fleet)).await;
 }
 
-/// The calls and the whole readings since `before`.
+/// The number of store calls and of full reads since `before`.
 fn cost(fleet: &Fleet, before: (u64, u64)) -> (u64, u64) {
     let records = &fleet.records;
     (records.calls() - before.0, records.full_reads() - before.1)
 }
 
-/// Ends all processes at once and starts them again; returns once each knows the fleet. Few of them
-/// read whole tables meanwhile, and each asks the store a few times only.
+/// Restarts all processes at once and returns when each knows the fleet. Checks that only a few of
+/// them read whole tables, and that there are at most three store calls per process.
 async fn restart_all(fleet: &mut Fleet) {
     (0..PROCESSES).for_each(|node| fleet.kill(node));
     let before = (fleet.records.calls(), fleet.records.full_reads());
@@ -78,7 +79,7 @@
     let mut fleet = Fleet::start_in(ZONES, PROCESSES).await;
     until_known(&fleet).await;
     until(|| fleet.records.get("fleet").is_some()).await;
-    // The index lists the followers of the whole fleet.
+    // Wait until the index lists the relays of the whole fleet.
     sleep(Duration::from_secs(3)).await;
     let began = Instant::now();
     restart_all(&mut fleet).await;
@@ -86,8 +87,8 @@
     assert!(began.elapsed() < MAX_START_TIME, "{:?}", began.elapsed());
 }
 
-/// What a process that starts is told takes its follower's link longer than an answer is waited
-/// for, as so many are told at once.
+/// So many processes get their initial data from a relay at once that sending it takes longer than
+/// the timeout of an answer.
 #[tokio::test(start_paused = true)]
 async fn fleet_restarted_over_slow_links_does_not_fall_back_to_the_store() {
     let mut fleet = Fleet::start_in(ZONES, PROCESSES).await;
@@ -103,7 +104,7 @@
     restart_all(&mut fleet).await;
 }
 
-/// Those that the index lists have all gone for good.
+/// All processes listed in the index are permanently gone.
 #[tokio::test(start_paused = true)]
 async fn process_that_reaches_none_of_the_index_falls_back_to_the_store() {
     let mut fleet = Fleet::start_in(ZONES, PROCESSES).await;
@@ -127,7 +128,11 @@
         let homes = node.engine.homes();
         homes.store_source(zone) != StoreSource::Store && !homes.is_follower(zone)
     };
-    let node = fleet.nodes.iter().rposition(is_bystander).expect("one");
+    let node = fleet
+        .nodes
+        .iter()
+        .rposition(is_bystander)
+        .expect("a bystander");
     let name = fleet.nodes[node].name.clone();
     let whole = fleet.records.full_reads();
     fleet.kill(node);
--- a/crates/engine/tests/following.rs
+++ b/crates/engine/tests/following.rs
@@ -1,4 +1,4 @@
-//! What a large fleet knows of the store while a part of it is cut off.
+//! What a large fleet knows of the store while some of its processes are cut off.
 
 mod support;
 
@@ -17,17 +17,17 @@
 use tokio::time::{Instant, sleep};
 
 const ZONES: &[&str] = &["zone-a", "zone-b", "zone-c"];
-/// Processes of the fleet.
+/// Number of processes of the fleet.
 const NODES: usize = 21;
-/// Processes of a larger one.
+/// Number of processes of a larger fleet.
 const LARGE: usize = 200;
-/// Time within which a removed credential must be refused.
+/// Time within which a removed credential must be refused everywhere.
 const REVOCATION_BOUND: Duration = Duration::from_secs(5);
-/// Greatest age of a proof while somebody who follows the store is reached.
+/// Maximum age of a configuration proof while a process that watches the store is reachable.
 const MAX_PROOF_AGE: Duration = Duration::from_millis(2_500);
-/// Longest time after the cut in which a caller of a process that is not cut may be refused.
+/// Maximum time after a cut during which callers of the connected processes may be refused.
 const MAX_GAP: Duration = Duration::from_millis(1_500);
-/// Interval in which all are looked at.
+/// Interval between checks of the proofs.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 fn credential() -> Credential {
@@ -73,10 +73,10 @@
     fleet
 }
 
-/// The processes that follow the store, and those of each zone that the others ask.
+/// The processes that watch the store, the relays of the zones, and the lease holder.
 struct Roles {
-    roots: Vec<usize>,
-    followers: Vec<usize>,
+    watchers: Vec<usize>,
+    relays: Vec<usize>,
     holder: usize,
 }
 
@@ -88,30 +88,30 @@
                 .store_source(&node.engine.settings().zone)
         };
         let all = 0..fleet.nodes.len();
-        let is_root = |place: &usize| source(&fleet.nodes[*place]) == StoreSource::Store;
-        let is_follower = |place: &usize| {
-            let engine = &fleet.nodes[*place].engine;
+        let is_watcher = |index: &usize| source(&fleet.nodes[*index]) == StoreSource::Store;
+        let is_follower = |index: &usize| {
+            let engine = &fleet.nodes[*index].engine;
             engine.homes().is_follower(&engine.settings().zone)
         };
         let lease = fleet.lease();
         let mut nodes = fleet.nodes.iter();
         let holder = nodes.position(|node| node.name == lease.holder.as_str());
         Self {
-            roots: all.clone().filter(is_root).collect(),
-            followers: all.filter(is_follower).collect(),
+            watchers: all.clone().filter(is_watcher).collect(),
+            relays: all.filter(is_follower).collect(),
             holder: holder.expect("the holder"),
         }
     }
 
-    fn has_role(&self, place: usize) -> bool {
-        self.roots.contains(&place) || self.followers.contains(&place) || place == self.holder
+    fn has_role(&self, index: usize) -> bool {
+        self.watchers.contains(&index) || self.relays.contains(&index) || index == self.holder
     }
 }
 
-/// Cuts `one` of the fleet from the rest of it; the servers stay in reach.
+/// Cuts the processes `one` off from the rest of the fleet. All can still reach the servers.
 fn partition(fleet: &Fleet, one: &HashSet<usize>) {
     for here in one {
-        for there in (0..fleet.nodes.len()).filter(|place| !one.contains(place)) {
+        for there in (0..fleet.nodes.len()).filter(|index| !one.contains(index)) {
             let (here, there) = (&fleet.nodes[*here].name, &fleet.nodes[there].name);
             fleet.network().cut(here, there);
         }
@@ -123,23 +123,23 @@
     proof.expect("a proof").elapsed()
 }
 
-/// The oldest proof of `places` within `time`.
-async fn oldest_proof(fleet: &Fleet, places: &[usize], time: Duration) -> Duration {
+/// The greatest age that any configuration proof of the processes `indices` has during `time`.
+async fn oldest_proof(fleet: &Fleet, indices: &[usize], time: Duration) -> Duration {
     let until = Instant::now() + time;
     let mut oldest = Duration::ZERO;
     while Instant::now() < until {
-        let ages = places.iter().map(|place| proof_age(&fleet.nodes[*place]));
+        let ages = indices.iter().map(|index| proof_age(&fleet.nodes[*index]));
         oldest = oldest.max(ages.max().unwrap_or_default());
         sleep(CHECK_INTERVAL).await;
     }
     oldest
 }
 
-/// Asks once at each of `places`; why callers were refused.
-async fn refusals(fleet: &Fleet, places: &[usize]) -> Vec<FailureReason> {
+/// Sends one read to each of the processes `indices`; returns the reasons of those that failed.
+async fn refusals(fleet: &Fleet, indices: &[usize]) -> Vec<FailureReason> {
     let mut reasons = Vec::new();
-    for place in places {
-        let engine = &fleet.nodes[*place].engine;
+    for index in indices {
+        let engine = &fleet.nodes[*index].engine;
         let mut client = Client::open_with(engine, BOUNDED_DATABASE, Some(credential()));
         let reply = client.send(read("x")).await;
         reasons.extend(reply.outcome.err().map(|failure| failure.reason));
@@ -147,28 +147,28 @@
     reasons
 }
 
-/// A third of the fleet loses the store and all others at once, whoever is among it: some of
-/// those that follow the store, of those that others ask, and the holder of the lease.
+/// A third of the fleet is cut off from the store and from the other processes at once, with any
+/// combination of processes that watch the store, relays and the lease holder among it.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn proofs_stay_recent_when_a_third_of_the_fleet_is_cut_off(
-    #[values(0, 1, 2)] roots: usize,
-    #[values(0, 2, 4)] followers: usize,
+    #[values(0, 1, 2)] watchers: usize,
+    #[values(0, 2, 4)] relays: usize,
     #[values(false, true)] holder: bool,
 ) {
     let fleet = fleet().await;
     let roles = Roles::of(&fleet);
-    let others = roles.followers.iter().filter(|f| !roles.roots.contains(f));
-    let mut cut: HashSet<usize> = roles.roots.iter().take(roots).copied().collect();
-    cut.extend(others.take(followers));
+    let others = roles.relays.iter().filter(|f| !roles.watchers.contains(f));
+    let mut cut: HashSet<usize> = roles.watchers.iter().take(watchers).copied().collect();
+    cut.extend(others.take(relays));
     cut.extend(holder.then_some(roles.holder));
-    let bystanders = (0..NODES).filter(|place| !roles.has_role(*place));
+    let bystanders = (0..NODES).filter(|index| !roles.has_role(*index));
     let missing = (NODES / 3).saturating_sub(cut.len());
     cut.extend(bystanders.take(missing));
-    let left: Vec<usize> = (0..NODES).filter(|place| !cut.contains(place)).collect();
+    let left: Vec<usize> = (0..NODES).filter(|index| !cut.contains(index)).collect();
     partition(&fleet, &cut);
-    for place in &cut {
-        fleet.records.ignore_node(&fleet.nodes[*place].name);
+    for index in &cut {
+        fleet.records.ignore_node(&fleet.nodes[*index].name);
     }
     let began = Instant::now();
     let oldest = oldest_proof(&fleet, &left, Duration::from_secs(8)).await;
@@ -177,26 +177,26 @@
     assert_eq!(refusals(&fleet, &left).await, Vec::new());
 }
 
-/// The store answers only some processes that nobody asks, and all that are asked stand on the
-/// other side of a split.
+/// The store answers only some processes that aren't relays, and all relays are on the other side
+/// of a network partition.
 #[tokio::test(start_paused = true)]
 async fn side_of_a_partition_learns_from_any_informed_process() {
     let fleet = fleet().await;
     let roles = Roles::of(&fleet);
-    let side: Vec<usize> = (0..NODES).filter(|place| !roles.has_role(*place)).collect();
+    let side: Vec<usize> = (0..NODES).filter(|index| !roles.has_role(*index)).collect();
     let here: HashSet<usize> = side.iter().copied().collect();
     let informed = &side[..side.len() / 3];
     partition(&fleet, &here);
-    let uninformed = (0..NODES).filter(|place| !informed.contains(place));
-    for place in uninformed {
-        fleet.records.refuse_node(&fleet.nodes[place].name, true);
+    let uninformed = (0..NODES).filter(|index| !informed.contains(index));
+    for index in uninformed {
+        fleet.records.refuse_node(&fleet.nodes[index].name, true);
     }
     sleep(MAX_GAP).await;
     let oldest = oldest_proof(&fleet, &side, Duration::from_secs(12)).await;
     assert!(oldest < REVOCATION_BOUND, "a proof was {oldest:?} old");
     let reasons = refusals(&fleet, &side).await;
     assert!(!reasons.contains(&FailureReason::ConfigurationOutdated));
-    // The others know nothing until the network is whole again, and then soon.
+    // The other side learns nothing until the network heals, and then catches up soon.
     fleet.network().heal();
     sleep(MAX_GAP).await;
     let oldest = fleet.nodes.iter().map(proof_age).max();
@@ -206,16 +206,16 @@
     );
 }
 
-/// The store goes silent to a third of the fleet, those that follow it among them.
+/// The store stops answering a third of the fleet, including the processes that watch it.
 #[tokio::test(start_paused = true)]
 async fn proofs_stay_recent_when_the_store_ignores_a_third_of_the_fleet() {
     let fleet = fleet().await;
     let roles = Roles::of(&fleet);
-    let bystanders = (0..NODES).filter(|place| !roles.has_role(*place));
-    let mut ignored: HashSet<usize> = roles.roots.iter().copied().collect();
+    let bystanders = (0..NODES).filter(|index| !roles.has_role(*index));
+    let mut ignored: HashSet<usize> = roles.watchers.iter().copied().collect();
     ignored.extend(bystanders.take(NODES / 3 - ignored.len()));
-    for place in &ignored {
-        fleet.records.ignore_node(&fleet.nodes[*place].name);
+    for index in &ignored {
+        fleet.records.ignore_node(&fleet.nodes[*index].name);
     }
     let all: Vec<usize> = (0..NODES).collect();
     let oldest = oldest_proof(&fleet, &all, Duration::from_secs(10)).await;
@@ -223,22 +223,22 @@
     assert_eq!(refusals(&fleet, &all).await, Vec::new());
 }
 
-/// A process that is cut goes on without a source; the store is not asked more by the others
-/// than by those that take its place.
+/// The processes that watch the store are cut off. Among the others, only relays, the lease holder
+/// and at most one more process may turn to the store in their place.
 #[tokio::test(start_paused = true)]
 async fn few_processes_replace_cut_off_relays_at_the_store() {
     let fleet = fleet().await;
     let roles = Roles::of(&fleet);
-    let cut: HashSet<usize> = roles.roots.iter().copied().collect();
+    let cut: HashSet<usize> = roles.watchers.iter().copied().collect();
     partition(&fleet, &cut);
-    for place in &cut {
-        fleet.records.ignore_node(&fleet.nodes[*place].name);
+    for index in &cut {
+        fleet.records.ignore_node(&fleet.nodes[*index].name);
     }
     sleep(Duration::from_secs(4)).await;
-    let is_direct = |place: &usize| fleet.nodes[*place].engine.following().is_direct();
-    let left = (0..NODES).filter(|place| !cut.contains(place));
+    let is_direct = |index: &usize| fleet.nodes[*index].engine.following().is_direct();
+    let left = (0..NODES).filter(|index| !cut.contains(index));
     let direct: HashSet<usize> = left.filter(is_direct).collect();
-    let allowed: HashSet<usize> = roles.followers.iter().copied().collect();
+    let allowed: HashSet<usize> = roles.relays.iter().copied().collect();
     let unexpected: Vec<&usize> = direct
         .difference(&allowed)
         .filter(|p| **p != roles.holder)
@@ -247,21 +247,22 @@
     assert!(!direct.is_empty());
 }
 
-/// Hundreds of processes that lose a third of the fleet at once ask hardly more than is answered:
-/// what asks again and again is a load of its own.
+/// When hundreds of processes lose a third of the fleet at once, they must send hardly more update
+/// requests than are answered, because repeated requests are a load of their own.
 #[tokio::test(start_paused = true)]
 async fn update_requests_are_not_repeated_excessively() {
     let fleet = fleet_of(LARGE).await;
     let roles = Roles::of(&fleet);
-    let bystanders = (0..LARGE).filter(|place| !roles.has_role(*place));
-    let mut cut: HashSet<usize> = roles.roots.iter().copied().collect();
+    let bystanders = (0..LARGE).filter(|index| !roles.has_role(*index));
+    let mut cut: HashSet<usize> = roles.watchers.iter().copied().collect();
     cut.extend(bystanders.take(LARGE / 3 - cut.len()));
     partition(&fleet, &cut);
-    for place in &cut {
-        fleet.records.ignore_node(&fleet.nodes[*place].name);
+    for index in &cut {
+        fleet.records.ignore_node(&fleet.nodes[*index].name);
     }
-    // Those that are cut ask their own side in vain; only the others count.
-    cut.iter().for_each(|place| fleet.nodes[*place].abort());
+    // The processes that are cut off send requests to their own side in vain. They are stopped, so
+    // that only the others are counted.
+    cut.iter().for_each(|index| fleet.nodes[*index].abort());
     let counts = || {
         let asked = fleet.peers.update_requests.load(Ordering::Relaxed);
         (asked, fleet.peers.update_replies.load(Ordering::Relaxed))
@@ -274,13 +275,13 @@
     assert!(asked * 10 <= told * 13, "{asked} asked, {told} answered");
 }
 
-/// All processes end and start anew at once: each knows the configuration and whom to ask within
-/// the bound, and reads each table in whole once at the most.
+/// All processes restart at once. Each must have a configuration proof and know the fleet within
+/// the limit, and there may be at most one full read of the store per process.
 #[tokio::test(start_paused = true)]
 async fn simultaneous_restart_of_all_processes_is_fast() {
     let mut fleet = fleet().await;
     let reads = fleet.records.full_reads();
-    (0..NODES).for_each(|place| fleet.kill(place));
+    (0..NODES).for_each(|index| fleet.kill(index));
     sleep(Duration::from_millis(500)).await;
     let names: Vec<String> = fleet.nodes.iter().map(|node| node.name.clone()).collect();
     fleet.nodes = names.iter().map(|name| fleet.respawn_node(name)).collect();
--- a/crates/engine/tests/leader_change.rs
+++ b/crates/engine/tests/leader_change.rs
@@ -1,4 +1,4 @@
-//! Who orders promotions after the holder of the lease for it is lost, or has left.
+//! Succession of the promotion lease after its holder fails or shuts down.
 
 mod support;
 
@@ -9,17 +9,17 @@
 use tokio::time::{Instant, sleep};
 
 const ZONES: &[&str] = &["zone-a", "zone-b", "zone-c"];
-/// Processes, seven in each zone.
+/// Number of processes, seven per zone.
 const LARGE: usize = 21;
-/// Time until the lease has another holder once its holder is lost: it lasts for 1.3 s, and a
-/// candidate or two may be lost too.
+/// Maximum time until a lost holder has a successor: the lease duration of 1.3 s, plus the rank
+/// delays of one or two candidates that may be lost too.
 const MAX_AFTER_LOSS: Duration = Duration::from_millis(1_500);
-/// The same where the holder stops while a renewal is under way, which nobody is told of.
+/// The same if the holder freezes during a renewal that it then doesn't announce.
 const MAX_AFTER_LOSS_DURING_RENEWAL: Duration = Duration::from_millis(1_950);
-/// The same once its holder has left.
+/// Maximum time until a holder that shuts down has a successor.
 const MAX_AFTER_LEAVING: Duration = Duration::from_millis(150);
 
-/// A fleet whose processes know one another and have linked up.
+/// Starts a fleet and waits until its processes know one another and are linked.
 async fn fleet() -> Fleet {
     let fleet = Fleet::start_in(ZONES, LARGE).await;
     sleep(Duration::from_secs(10)).await;
@@ -30,21 +30,24 @@
     let lease = fleet.lease();
     let mut nodes = fleet.nodes.iter();
     let holder = nodes.position(|node| node.name == lease.holder.as_str());
-    holder.expect("a process of the fleet")
+    holder.expect("a lease holder in the fleet")
 }
 
-/// Waits until another process than `before` holds the lease; how long that took.
+/// Waits until another process than `before` holds the lease; returns how long that took.
 async fn until_another_holds(fleet: &Fleet, before: usize) -> Duration {
     let began = Instant::now();
     let name = fleet.nodes[before].name.clone();
     while fleet.lease().holder.as_str() == name {
-        assert!(began.elapsed() < Duration::from_secs(10), "nobody took it");
+        assert!(
+            began.elapsed() < Duration::from_secs(10),
+            "no process took the lease"
+        );
         sleep(Duration::from_millis(1)).await;
     }
     began.elapsed()
 }
 
-/// How a holder is lost.
+/// How a holder fails.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Loss {
     Killed,
@@ -93,8 +96,8 @@
     assert!(took <= MAX_AFTER_LEAVING, "{took:?}");
 }
 
-/// A zone is lost with the holder and the candidates that stand there: one of the others takes
-/// the lease in its turn.
+/// A zone is lost, with the lease holder and the candidates in it. One of the remaining
+/// candidates takes the lease after its rank delay.
 #[tokio::test(start_paused = true)]
 async fn losing_a_zone_delays_succession_only_by_rank_delays() {
     let mut fleet = fleet().await;
@@ -107,7 +110,7 @@
     assert!(took <= MAX_AFTER_LOSS, "{took:?}");
 }
 
-/// A candidate whom nobody tells of the lease finds out by itself, as the store has it.
+/// Candidates that receive no announcements of renewals learn of the lease from the store.
 #[tokio::test(start_paused = true)]
 async fn candidates_without_announcements_read_the_lease_from_the_store() {
     let mut fleet = fleet().await;
--- a/crates/engine/tests/leadership.rs
+++ b/crates/engine/tests/leadership.rs
@@ -1,5 +1,5 @@
-//! Changes of leader under faults: nothing acknowledged is lost, and nobody is promoted
-//! who may lack a commit.
+//! Changes of leader under faults: no acknowledged commit is lost, and no member is promoted that
+//! may lack one.
 
 mod support;
 
@@ -15,10 +15,11 @@
 use support::{Client, Fleet, GROUP, LEADER_DATABASE, OWN_DATABASE, read_row, until};
 use tokio::time::{Instant, sleep};
 
-/// Longest time in which a lost leader is replaced, on the paused clock.
+/// Maximum time until a lost leader is replaced, on the paused clock.
 const REPLACED_WITHIN: Duration = Duration::from_millis(2_500);
 
-/// Callers that write all the time at each process: only traffic makes a leader suspect.
+/// Spawns a caller at each process that writes continuously: leaders are only suspected if there
+/// is traffic.
 fn keep_writing(fleet: &Fleet) {
     for node in &fleet.nodes {
         let mut client = Client::open(&node.engine, OWN_DATABASE);
@@ -31,7 +32,7 @@
     }
 }
 
-/// Writes at one process until one is acknowledged.
+/// Retries a write at one process until it is acknowledged.
 async fn write_until_acknowledged(fleet: &Fleet, node: usize) {
     let mut client = fleet.session(node, LEADER_DATABASE);
     client
@@ -166,7 +167,7 @@
     keep_writing(&fleet);
     let world = Arc::clone(&fleet.world);
     until(|| !world.promotions().is_empty()).await;
-    // The cut heals: the old leader still believes in its term.
+    // The network heals while the old leader still considers its term valid.
     fleet.network().heal();
     assert_eq!(world.server("a").role, Role::Primary);
     write_until_acknowledged(&fleet, 0).await;
@@ -194,15 +195,15 @@
         TermRecord::decode(&record.value).ok()
     };
     until(|| recorded().is_some_and(|term| term.phase == phase)).await;
-    let holder = recorded().expect("recorded").holder;
+    let holder = recorded().expect("a term record").holder;
     let node = fleet
         .nodes
         .iter_mut()
         .find(|node| *node.name == *holder)
-        .expect("the holder");
+        .expect("the lease holder");
     node.kill();
     let survivor = fleet.nodes.iter().position(|node| *node.name != *holder);
-    write_until_acknowledged(&fleet, survivor.expect("another")).await;
+    write_until_acknowledged(&fleet, survivor.expect("another process")).await;
     assert!(fleet.world.server(&fleet.world.leader()).log.len() >= 6);
     assert_eq!(recorded().map(|term| term.phase), Some(TermPhase::Active));
 }
@@ -229,14 +230,17 @@
 #[case::store_refuses(Fault::Refusing, true)]
 #[case::store_does_not_answer(Fault::Silent, true)]
 #[tokio::test(start_paused = true)]
-async fn promotion_completes_after_store_faults(#[case] fault: Fault, #[case] stops: bool) {
+async fn promotion_completes_after_store_faults(
+    #[case] fault: Fault,
+    #[case] blocks_promotion: bool,
+) {
     let fleet = Fleet::start(2).await;
     write(&fleet, 5).await;
     fleet.records.set_fault(fault);
     fleet.world.crash("a");
     keep_writing(&fleet);
     sleep(Duration::from_secs(5)).await;
-    assert_eq!(fleet.world.promotions().is_empty(), stops);
+    assert_eq!(fleet.world.promotions().is_empty(), blocks_promotion);
     fleet.records.set_fault(Fault::None);
     write_until_acknowledged(&fleet, 0).await;
     assert!(fleet.world.server(&fleet.world.leader()).log.len() >= 6);
@@ -252,7 +256,7 @@
     until(|| !world.promotions().is_empty()).await;
     let target = world.promotions()[0].target.clone();
     world.crash(&target);
-    // The other replica alone can't be known to hold everything: one has to come back.
+    // The other replica alone may lack commits, so another member has to return.
     world.restart("a");
     write_until_acknowledged(&fleet, 0).await;
     assert!(world.server(&world.leader()).log.len() >= 6);
@@ -270,7 +274,8 @@
         let failure = client.write("x 1").await.outcome.expect_err("no replica");
         refused_not_run += usize::from(failure.reason == FailureReason::NoReplica);
     }
-    // Once the stall is known, writes are refused unrun, and transactions rolled back.
+    // Once the stall is detected, writes are refused before they run, and transactions are rolled
+    // back.
     assert!(refused_not_run >= 15, "{refused_not_run}");
     client.begin(false).await;
     assert!(client.write("x 1").await.outcome.is_ok());
@@ -286,7 +291,7 @@
 async fn leader_that_refuses_new_connections_is_not_suspected() {
     let fleet = Fleet::start(2).await;
     write(&fleet, 2).await;
-    // Idle connections end after a while; new ones are refused.
+    // The connections are idle long enough to be closed; new ones are refused.
     sleep(Duration::from_secs(4)).await;
     fleet
         .nodes
@@ -324,7 +329,7 @@
             .holder
             .clone();
         let index = fleet.nodes.iter().position(|node| *node.name == *holder);
-        let index = index.expect("the holder");
+        let index = index.expect("the lease holder");
         if index > 0 {
             fleet.nodes[index].kill();
             let name = fleet.nodes[index].name.clone();
@@ -354,8 +359,8 @@
     assert_eq!(fleet.epoch(2), fleet.epoch(0));
 }
 
-/// All processes end while the leader and a replica are away and their entries have gone:
-/// those that begin then must not take the member that is left for the only one.
+/// All processes are replaced while the leader and a replica are unreachable and their entries are
+/// missing. The new processes must not assume that the remaining member is the only one.
 #[tokio::test(start_paused = true)]
 async fn absent_members_are_remembered_after_all_processes_are_replaced() {
     let mut fleet = Fleet::start(2).await;
@@ -380,14 +385,14 @@
     }
     let started = |node: &support::Node| node.engine.is_started();
     until(|| fleet.nodes.iter().all(started)).await;
-    // Nor do its positions cover what was acknowledged.
+    // The remaining member's position must not count as covering the acknowledged commits either.
     let mut reader = fleet.session(0, OWN_DATABASE);
     for _ in 0..10 {
         assert!(reader.read("x").await.outcome.is_err());
         sleep(Duration::from_millis(500)).await;
     }
     assert!(fleet.world.promotions().is_empty());
-    // The replica comes back, and holds what was acknowledged.
+    // The replica that returns holds the acknowledged commits.
     fleet
         .world
         .change("c", |server| server.unresponsive = false);
@@ -396,8 +401,8 @@
     assert_eq!(&*fleet.world.promotions()[0].target, "c");
 }
 
-/// Commits that are acknowledged late bring evidence that is too old, one after the other.
-/// They do not keep a read from asking for newer evidence.
+/// A series of commits that are acknowledged late provides evidence that is already too old. It
+/// must not keep a read from requesting newer evidence.
 #[tokio::test(start_paused = true)]
 async fn old_evidence_does_not_delay_the_search_for_new_evidence() {
     let fleet = Fleet::start(1).await;
@@ -422,8 +427,9 @@
     assert!(leased.is_some());
 }
 
-/// Entries may go away because the store takes too few of them, and come back: a leader that
-/// answers as one is kept meanwhile, and replaced in time if it has really left.
+/// An entry may disappear temporarily because the store accepts too few updates. A member that
+/// still answers as the leader is kept in the meantime, and replaced in time if the entry doesn't
+/// return.
 #[rstest]
 #[case::entry_returns(true)]
 #[case::entry_stays_missing(false)]
@@ -441,7 +447,7 @@
         sleep(Duration::from_secs(4)).await;
         assert_eq!(fleet.epoch(0), 0);
     } else {
-        // While it is still used: nobody is without a leader.
+        // It is replaced while it is still in use, so the group is never without a leader.
         sleep(Duration::from_millis(1_000)).await;
         assert!(fleet.epoch(0) > 0);
     }
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -1,4 +1,4 @@
-//! More requests than the servers can run.
+//! Behavior under more requests than the servers can run.
 
 mod support;
 
@@ -11,16 +11,17 @@
 use support::{BOUNDED_DATABASE, Client, Fleet, LEADER_DATABASE};
 use tokio::time::{Instant, sleep};
 
-/// Statements that a server runs at a time, and those that wait there.
+/// Number of statements that a server runs concurrently.
 const SLOTS: usize = 3;
+/// Number of statements that may wait at a server.
 const QUEUE: usize = 24;
-/// How many times longer than usual statements run: 20 ms.
+/// Factor by which statements take longer; each then runs for 20 ms.
 const SLOWDOWN: u32 = 5;
-/// Reads that the three servers can run in a second.
+/// Reads per second that the three servers can run.
 const CAPACITY: u32 = 450;
-/// How long requests come.
+/// How long requests are sent.
 const LOAD_DURATION: Duration = Duration::from_secs(8);
-/// Time within which an answer counts.
+/// Time within which an answer counts as good.
 const OBJECTIVE: Duration = Duration::from_millis(250);
 
 async fn limited_fleet(nodes: usize) -> Fleet {
@@ -34,7 +35,7 @@
     fleet
 }
 
-/// Waits for as long as a refused caller is told to.
+/// Waits for the retry delay of a refused request.
 async fn wait_for_retry(reply: Reply) {
     if let Err(failure) = reply.outcome {
         let wait = failure.retry_after.unwrap_or_default();
@@ -42,8 +43,8 @@
     }
 }
 
-/// Sends `per_second` reads from sessions of their own; returns how many were answered
-/// within the objective.
+/// Sends `per_second` reads, each from its own session; returns how many were answered within the
+/// objective.
 async fn count_good_reads(per_second: u32) -> usize {
     let fleet = limited_fleet(3).await;
     let good = Arc::new(AtomicUsize::new(0));
@@ -68,18 +69,18 @@
     good.load(Ordering::SeqCst)
 }
 
-/// What is answered in time does not fall when more is asked than can be run.
+/// The number of answers within the objective must not drop when the load exceeds the capacity.
 #[tokio::test(start_paused = true)]
 async fn goodput_holds_at_twice_the_capacity() {
     let at_capacity = count_good_reads(CAPACITY * 9 / 10).await;
     let at_twice = count_good_reads(CAPACITY * 2).await;
     assert!(
         at_twice * 10 >= at_capacity * 9,
-        "{at_twice} good answers at twice the capacity, {at_capacity} at it"
+        "{at_twice} good answers at twice the capacity, {at_capacity} at 90% of it"
     );
 }
 
-/// Load is no reason to take a leader for lost.
+/// Overload must not make processes suspect a leader.
 #[tokio::test(start_paused = true)]
 async fn busy_leaders_are_not_suspected() {
     let fleet = limited_fleet(3).await;
@@ -99,7 +100,7 @@
     assert!(fleet.world.promotions().is_empty());
 }
 
-/// A leader whose queue is full refuses questions too.
+/// A leader whose queue is full refuses status requests too.
 #[rstest]
 #[case::over_an_open_connection(false)]
 #[case::over_a_new_connection(true)]
@@ -120,7 +121,8 @@
     assert!(fleet.world.promotions().is_empty());
 }
 
-/// A request that is refused for load is refused early, unrun, with a time to come back.
+/// Requests that are refused under load are refused early, without having run, and with a retry
+/// delay.
 #[rstest]
 #[case(LEADER_DATABASE)]
 #[case(BOUNDED_DATABASE)]
--- a/crates/engine/tests/peers.rs
+++ b/crates/engine/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What processes learn from one another while the store does not serve them.
+//! What processes learn from one another while the store is unavailable to them.
 
 mod support;
 
@@ -69,7 +69,7 @@
     let group = fleet.nodes[cut].engine.group(&Arc::from(GROUP));
     until(|| group.view().epoch == 1 && group.view().confirmed).await;
     let mut client = fleet.session(cut, LEADER_DATABASE);
-    // It counts the new leader's wait from when it learned of it.
+    // The wait before the new leader may be used starts when this process learns of it.
     let written = async {
         while client.write("x 1").await.outcome.is_err() {
             sleep(Duration::from_millis(20)).await;
@@ -106,14 +106,14 @@
     };
     let state = TcpPeers.query_declared(address, no_versions).await;
     let state = state.expect("an answer");
-    let expected = engine.configuration().expect("one");
+    let expected = engine.configuration().expect("a configuration");
     let whole = DeclaredConfiguration::Whole(expected.as_ref().clone());
     assert_eq!(state.configuration, Some(whole));
     assert_eq!(state.directory.expect("members").members.len(), 3);
     let all = declared::known_versions(&engine);
     let state = TcpPeers.query_declared(address, all).await;
     assert!(state.expect("an answer").configuration.is_none());
-    // What makes no sense gets no answer, and the next question does.
+    // An invalid message gets no answer; a later query does.
     let stream = TcpStream::connect(address).await.expect("connected");
     let mut frames = Framed::new(stream, LengthDelimitedCodec::new());
     frames
@@ -138,8 +138,8 @@
     }
 }
 
-/// What a process knows of the old leader, which is being fenced off, says nothing of the
-/// target, although both belong to one epoch.
+/// Knowledge of the old leader, which is being fenced, must not be applied to the promotion
+/// target, although both belong to the same epoch.
 #[tokio::test(start_paused = true)]
 async fn knowledge_of_the_old_leader_is_not_applied_to_the_target() {
     let fleet = Fleet::start(2).await;
@@ -162,14 +162,18 @@
     assert!(!before.0.confirmed);
 }
 
-/// A process that the store turns away takes newer documents and members from others, and
-/// never older ones.
+/// A process that the store refuses takes newer configurations and members from peers, but never
+/// older ones.
 #[tokio::test(start_paused = true)]
 async fn declared_state_is_learned_from_other_processes() {
     let fleet = Fleet::start(2).await;
     until_all_processes_are_known(&fleet).await;
     let [informed, cut] = [&fleet.nodes[0].engine, &fleet.nodes[1].engine];
-    let mut newer = informed.configuration().expect("one").as_ref().clone();
+    let mut newer = informed
+        .configuration()
+        .expect("a configuration")
+        .as_ref()
+        .clone();
     newer.version += 5;
     newer.transaction_idle = None;
     assert!(informed.set_configuration(newer.clone()));
@@ -192,18 +196,18 @@
         panic!("{:?}", known());
     };
     assert!(told.earliest <= leaving.earliest && told.earliest.is_some());
-    // Asked the other way round, nothing older is taken.
+    // A query in the other direction must not apply older state.
     let before = informed.directory().version;
     declared::query(informed).await;
     assert_eq!(informed.directory().version, before);
 }
 
-/// Only what has changed is told, where the rest is known to be known.
+/// A peer that knows an earlier version is sent only the changes since then.
 #[tokio::test(start_paused = true)]
 async fn only_changes_are_sent() {
     let fleet = Fleet::start(1).await;
     let engine = &fleet.nodes[0].engine;
-    let first = engine.configuration().expect("one");
+    let first = engine.configuration().expect("a configuration");
     let known = declared::known_versions(engine);
     let mut later = first.as_ref().clone();
     later.version += 1;
@@ -218,7 +222,7 @@
     let now = Instant::now();
     let mut entries = fleet.world.entries();
     let changed = entries.iter_mut().find(|member| &*member.id == "c");
-    changed.expect("one").state = MemberState::Leaving(Departure::at(now));
+    changed.expect("member c").state = MemberState::Leaving(Departure::at(now));
     let version = known.directory + 1_000_000;
     let next = engine
         .directory()
@@ -230,13 +234,14 @@
     };
     assert_eq!((changes.routes.len(), changes.removed_routes.len()), (1, 1));
     assert_eq!(first.apply(changes.clone()), Some(later.clone()));
-    // They are of no use to who knows another version.
+    // The changes don't apply to any other version.
     assert_eq!(later.apply(changes), None);
     let directory = told.directory.expect("members");
     assert_eq!(directory.extent, DeclaredExtent::Changes);
     let names = directory.members.iter().map(|member| &*member.id);
     assert_eq!(names.collect::<Vec<&str>>(), ["c"]);
-    // Who knows nothing, or what is forgotten, is told everything.
+    // A peer that knows nothing, or only a version whose later changes were forgotten, is sent
+    // everything.
     let no_versions = DeclaredVersions {
         configuration: 0,
         directory: 0,
@@ -263,8 +268,8 @@
     assert!(forgotten.changes_since(version + 1).is_some());
 }
 
-/// The store's version rises with every write in it. Who has read all entries anew tells
-/// nobody what has not changed since.
+/// The store's version increases with every write. A process that has reread all entries must not
+/// report unchanged ones as changes.
 #[tokio::test(start_paused = true)]
 async fn unchanged_entries_that_are_reread_are_not_changes() {
     let fleet = Fleet::start(1).await;
@@ -278,7 +283,7 @@
     assert_eq!((followed.version, read_anew.version), (40, 40));
     let later = read_anew.with_entries(950, entries(40), now);
     assert_eq!(later.version, 40);
-    // What is missing is a change, as of the reading.
+    // A missing entry is a change, with the version of the read.
     let [first, rest @ ..] = &entries(40)[..] else {
         panic!("no entries");
     };
@@ -287,7 +292,7 @@
     let changed = without.changes_since(40).expect("all changes");
     let changed: Vec<&str> = changed.map(|member| &*member.id).collect();
     assert_eq!(changed, [&*first.id]);
-    // And so is an entry that differs, whatever version it tells.
+    // So is an entry with a different content, whatever version it has.
     let mut slower = entries(40);
     slower[1].slots = 1;
     assert_eq!(later.with_entries(970, slower, now).version, 970);
--- a/crates/engine/tests/reads.rs
+++ b/crates/engine/tests/reads.rs
@@ -1,4 +1,4 @@
-//! Which member runs a read, and how fresh it is.
+//! Which member serves a read, and how recent the result is.
 
 mod support;
 
@@ -73,7 +73,7 @@
     let failure = client.read("x").await.outcome.expect_err("no evidence");
     assert_eq!(failure.reason, FailureReason::NoLeader);
     assert_eq!(failure.verdict, Verdict::NotRun);
-    // A commit that a replica has received is such evidence, without the store.
+    // A commit that a replica has received is evidence too, and doesn't need the store.
     assert!(client.write("x 1").await.outcome.is_ok());
     assert_eq!(read_row(&client.read("x").await), ("a".to_owned(), 1));
     sleep(Duration::from_secs(1)).await;
@@ -101,7 +101,7 @@
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, OWN_DATABASE);
     client.write("x 1").await;
-    // Without the store nobody can be promoted.
+    // Without the store, no member can be promoted.
     fleet.records.set_fault(Fault::Refusing);
     fleet.world.crash("a");
     for _ in 0..20 {
--- a/crates/engine/tests/restored_store.rs
+++ b/crates/engine/tests/restored_store.rs
@@ -1,5 +1,5 @@
-//! A store that comes back from a copy: what it has lost is written again, nothing that it gives
-//! out anew is taken for what it was, and no number is used twice.
+//! A store that is restored from a backup: records that it lost are rewritten, versions that it
+//! assigns again aren't confused with the earlier ones, and no epoch or fencing number is reused.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use support::{Fleet, GROUP, LEADER_DATABASE, until};
 use tokio::time::{Instant, sleep};
 
-/// Time within which a fleet has written again what it knows.
+/// Maximum time until a fleet has rewritten lost records.
 const MAX_REWRITE_TIME: Duration = Duration::from_secs(5);
 
 fn stored_term(fleet: &Fleet) -> Option<TermRecord> {
@@ -26,7 +26,7 @@
         .await;
 }
 
-/// Replaces the leader; returns once the next one is in use.
+/// Replaces the leader; returns when the next one is in use.
 async fn change_leader(fleet: &Fleet) {
     let leader = fleet.world.leader();
     let before = fleet.epoch(0);
@@ -153,8 +153,8 @@
     assert_eq!(state, MemberState::Leaving(departure));
 }
 
-/// A group whose servers have registered before it was configured has its members recorded all the
-/// same: a change of leader reads them.
+/// The members of a group are recorded even if its servers registered before the group was
+/// configured, because a change of leader needs the record.
 #[tokio::test(start_paused = true)]
 async fn members_of_a_group_that_is_configured_later_are_recorded() {
     let fleet = Fleet::start(1).await;
--- a/crates/engine/tests/rosters.rs
+++ b/crates/engine/tests/rosters.rs
@@ -1,4 +1,4 @@
-//! The members of many groups, as the holder of the lease records them.
+//! Roster records of many groups, as written by the lease holder.
 
 mod support;
 
@@ -9,12 +9,12 @@
 use support::groups::{group_name, members_of_groups, with_groups};
 use tokio::time::sleep;
 
-/// Groups that are configured at once, of three servers each.
+/// Number of groups that are configured at the same time, with three servers each.
 const GROUPS: usize = 300;
-/// Records that one call writes at the least, for a fleet of groups: a tenth of the calls that
-/// single writes would take.
+/// Minimum average number of records per write call when many groups are recorded: at most a
+/// tenth of the calls that single writes would take.
 const MIN_RECORDS_PER_CALL: usize = 10;
-/// Time in which all groups are recorded.
+/// Time after which all groups must be recorded.
 const RECORDED_WITHIN: Duration = Duration::from_secs(5);
 
 async fn configure(fleet: &Fleet) {
@@ -40,7 +40,8 @@
     assert!(calls <= (GROUPS / MIN_RECORDS_PER_CALL) as u64, "{calls}");
 }
 
-/// A record that another process has written keeps none of the others from being written.
+/// A record that another process has already written doesn't prevent the other records of the
+/// same call from being written.
 #[tokio::test(start_paused = true)]
 async fn conflict_on_one_group_does_not_block_the_others() {
     let fleet = Fleet::start(1).await;
--- a/crates/engine/tests/server_lives.rs
+++ b/crates/engine/tests/server_lives.rs
@@ -1,4 +1,4 @@
-//! Servers that start again under their names and hold nothing of before.
+//! Servers that restart under their names with an empty log.
 
 mod support;
 
@@ -37,7 +37,7 @@
     assert!(!are_incarnations_of_same_server(&id("s@1"), &id("t@2")));
 }
 
-fn known(world: &World) -> Directory {
+fn directory_of(world: &World) -> Directory {
     Directory::default().with_entries(1, world.entries(), Departure::at(Instant::now()))
 }
 
@@ -45,7 +45,7 @@
 fn incarnation_ends_when_the_next_one_registers() {
     let world = World::new(&["a", "b"]);
     world.change("a", |server| server.started_at = Some(1));
-    let before = known(&world);
+    let before = directory_of(&world);
     let first = before.member("a@1").expect("a member").clone();
     world.start_empty("a");
     world.change("a", |server| server.role = Role::Primary);
@@ -60,13 +60,14 @@
     assert!(!before.has_restarted(&first));
     assert!(after.has_restarted(&first));
     assert!(after.member("a@1").is_some_and(|member| member.is_gone()));
-    // It says that it leads, and is not taken for the leader that it was.
+    // The new incarnation claims to lead, but isn't identified with the leader that it was before.
     let acting = after.acting_member(GROUP, "a@1", Some(first.address));
     assert_eq!(acting.map(|member| &*member.id), Some("a@1"));
     assert_eq!(after.member("a@2").map(|m| m.role), Some(Role::Primary));
 }
 
-/// Commits of callers go on after the fault, and none before it is lost or read too late.
+/// Injects a fault under load. Checks that commits continue after it, and that no acknowledged
+/// commit is lost and no read is too old.
 async fn run_with_fault(processes: usize, fault: impl AsyncFn(&Fleet)) {
     let fleet = Fleet::start(processes).await;
     for name in ["a", "b", "c"] {
@@ -86,7 +87,7 @@
     assert_eq!(history.violations(&fleet.world), Vec::<String>::new());
 }
 
-/// Crashes `server` and starts it again after `down`, with nothing of before.
+/// Crashes `server` and restarts it after `down` with an empty log.
 async fn start_empty(fleet: &Fleet, server: &str, down: Duration) {
     fleet.world.crash(server);
     sleep(down).await;
@@ -138,7 +139,7 @@
     .await;
 }
 
-/// Its entry has not told yet that it has started again.
+/// The directory entry of the leader doesn't show its restart yet.
 #[tokio::test(start_paused = true)]
 async fn transaction_does_not_read_from_a_leader_that_restarted_empty() {
     let fleet = Fleet::start(1).await;
@@ -159,7 +160,7 @@
     assert!(is_whole, "{:?}", read_row(&reply));
 }
 
-/// Whoever connects to a life that has ended would reach the next one.
+/// A connection to an ended incarnation would reach the next one.
 #[tokio::test(start_paused = true)]
 async fn no_connection_is_opened_to_an_ended_incarnation() {
     let fleet = Fleet::start(1).await;
--- a/crates/engine/tests/sessions.rs
+++ b/crates/engine/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions: values, prepared statements and transactions on shared connections.
+//! Sessions: session values, prepared statements and transactions on shared connections.
 
 mod support;
 
@@ -172,7 +172,7 @@
     assert!(client.commit().await.outcome.is_ok());
     let failure = client.read("x").await.outcome.expect_err("no route");
     assert_eq!(failure.reason, FailureReason::UnknownDatabase);
-    // An older version is never taken again.
+    // An older version is never applied.
     let older = support::configuration(1);
     assert!(!fleet.nodes[0].engine.set_configuration(older));
     assert!(client.read("x").await.outcome.is_err());
--- a/crates/engine/tests/silence.rs
+++ b/crates/engine/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Open connections that go silent for good, without an end, while new ones work.
+//! Open connections that stop delivering data without being closed, while new ones work.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use support::{BOUNDED_DATABASE, Fleet, LEADER_DATABASE, until};
 use tokio::time::{Instant, sleep};
 
-/// Processes of a fleet that needs homes.
+/// Number of processes of a fleet that needs homes.
 const LARGE: usize = 20;
 
 async fn large_fleet() -> Fleet {
@@ -17,7 +17,7 @@
     fleet
 }
 
-/// Links between processes are noticed by a ping, and replaced by such as answer.
+/// Silent links between processes are detected by pings and replaced by new ones.
 #[tokio::test(start_paused = true)]
 async fn silent_links_are_replaced() {
     let fleet = large_fleet().await;
@@ -27,7 +27,7 @@
     }
     fleet.peers.silence_links();
     let silenced = Instant::now();
-    // One request of each process may pay for finding out.
+    // One request of each process may be delayed until the failure is detected.
     for node in 0..LARGE {
         fleet.session(node, BOUNDED_DATABASE).read("x").await;
     }
@@ -38,7 +38,7 @@
         assert!(read.outcome.is_ok(), "{read:?}");
         assert!(began.elapsed() < Duration::from_millis(150), "{node}");
     }
-    // What the store tells reaches everybody again.
+    // Updates from the store reach all processes again.
     sleep(Duration::from_secs(3)).await;
     for node in &fleet.nodes {
         let known = node.engine.following().current_as_of().expect("known");
@@ -50,7 +50,8 @@
     }
 }
 
-/// Connections to a server go silent together: one request finds out for all.
+/// All connections to a server go silent together. One request is enough to detect it for all of
+/// them.
 #[tokio::test(start_paused = true)]
 async fn idle_connections_to_a_silent_server_are_closed_together() {
     let fleet = Fleet::start(1).await;
--- a/crates/engine/tests/simulation.rs
+++ b/crates/engine/tests/simulation.rs
@@ -1,5 +1,4 @@
-//! Processes and servers under random faults, and planted mistakes that the same checks
-//! must find.
+//! Processes and servers under random faults, and injected bugs that the same checks must detect.
 
 mod support;
 
@@ -16,18 +15,18 @@
 use tokio::time::{Instant, sleep};
 
 const SERVERS: [&str; 3] = ["a", "b", "c"];
-/// Faults in one run.
+/// Number of faults in one run.
 const FAULTS: usize = 10;
-/// Time after the last fault in which everything recovers.
+/// Time after the last fault within which everything must recover.
 const RECOVERY: Duration = Duration::from_secs(12);
 
-/// How long a moment is waited for at which two servers hold the same.
+/// Maximum wait until another server has received as much as the one to be restarted.
 const MAX_REPLICATION_WAIT: Duration = Duration::from_millis(500);
 
-/// Processes of a fleet in which homes hold the connections.
+/// Number of processes of a fleet in which homes hold the connections.
 const LARGE: usize = 20;
 
-/// Brings one fault about, for a while.
+/// Injects one random fault for a random time.
 async fn inject_fault(fleet: &Fleet, rng: &mut StdRng) {
     let server = SERVERS[rng.random_range(0..SERVERS.len())];
     let other = SERVERS[rng.random_range(0..SERVERS.len())];
@@ -117,8 +116,8 @@
     fleet.network().heal();
 }
 
-/// Starts a server again with nothing, at a moment at which another holds what it does; without
-/// one the commits would be lost whatever is done.
+/// Restarts a server with an empty log once another server has received as much. Without such a
+/// server, commits would be lost whatever the processes do, so the fault is skipped.
 async fn start_empty(fleet: &Fleet, server: &str) {
     let held = |name: &str| fleet.world.server(name).position();
     let until = Instant::now() + MAX_REPLICATION_WAIT;
@@ -132,8 +131,8 @@
     }
 }
 
-/// A server starts again with nothing, the store comes back from a copy that is older than a
-/// fault, or one of the faults of [`inject_fault`].
+/// Restarts a server with an empty log, restores the store from a backup that predates a fault,
+/// or injects one of the faults of [`inject_fault`].
 async fn inject_fault_or_data_loss(fleet: &Fleet, rng: &mut StdRng) {
     match rng.random_range(0..3) {
         0 => start_empty(fleet, SERVERS[rng.random_range(0..SERVERS.len())]).await,
@@ -177,14 +176,14 @@
     (violations, history.counts())
 }
 
-/// Orders whose number is lower than that of an order before.
+/// Promotion orders with a lower fencing number than the order before.
 fn decreasing_fencing_numbers(fleet: &Fleet) -> Vec<String> {
     let orders = fleet.world.promotions();
     let decreasing = orders
         .windows(2)
         .filter(|pair| pair[1].fencing < pair[0].fencing);
     decreasing
-        .map(|pair| format!("an order of {:?} after one of {:?}", pair[1], pair[0]))
+        .map(|pair| format!("order {:?} after the newer {:?}", pair[1], pair[0]))
         .collect()
 }
 
@@ -230,7 +229,7 @@
     );
 }
 
-/// A link that delivers commands twice, as one would that repeats what was not answered.
+/// Links deliver commands twice, as a link with faulty retransmission would.
 #[tokio::test(start_paused = true)]
 async fn repeated_forwarded_write_is_detected() {
     let fleet = Fleet::start(LARGE).await;
@@ -245,21 +244,21 @@
     );
 }
 
-/// Evidence that a keeper tells the whole fleet, from a store that shows it the past.
+/// Processes that read a stale store spread outdated evidence to the whole fleet.
 #[tokio::test(start_paused = true)]
 async fn stale_evidence_in_a_large_fleet_is_detected() {
     let fleet = Fleet::start(LARGE).await;
     let history = Arc::new(History::default());
     fleet.spawn_callers(&history);
-    // A caller whose write waits for the old leader reads nothing meanwhile.
+    // Callers whose writes wait for the old leader don't read in the meantime, so others must.
     fleet.spawn_readers(&history);
     sleep(Duration::from_secs(2)).await;
     let holder = fleet.lease().holder;
-    // All but the holder believe the store of a moment ago, and stay with the old leader.
+    // All processes but the holder see an old state of the store and stay with the old leader.
     let names = fleet.nodes.iter().map(|node| &node.name);
     let others = names.filter(|name| **name != holder.as_str());
     others.for_each(|name| fleet.records.serve_stale_data_to(name));
-    // Nor do they learn of the change from the holder, which may be one that others ask.
+    // They don't learn of the change from the holder either, which may be a relay.
     fleet.peers.drop_updates_from(holder.as_str());
     fleet.network().cut(holder.as_str(), "a");
     fleet
@@ -277,7 +276,8 @@
     );
 }
 
-/// Cuts all processes from the leader but one, which does not hold the lease; returns it.
+/// Cuts all processes but one off from the leader. The exception doesn't hold the lease; returns
+/// its name.
 fn cut_all_but_one(fleet: &Fleet) -> String {
     let holder = fleet.lease().holder;
     let names = || fleet.nodes.iter().map(|node| node.name.clone());
@@ -288,13 +288,13 @@
     isolated_node
 }
 
-/// One process keeps the old leader and loses the store; the others promote another.
+/// One process still reaches the old leader but not the store; the others promote another leader.
 async fn partition_from_the_old_leader(fleet: &Fleet, history: &Arc<History>) {
     fleet.spawn_callers(history);
     sleep(Duration::from_secs(2)).await;
     let isolated_node = cut_all_but_one(fleet);
     fleet.records.refuse_node(&isolated_node, true);
-    // Nor does it learn of the change from the others.
+    // It doesn't learn of the change from other processes either.
     fleet.peers.set_isolated(true);
     until(|| !fleet.world.promotions().is_empty()).await;
     sleep(Duration::from_secs(2)).await;
@@ -311,7 +311,7 @@
 #[tokio::test(start_paused = true)]
 async fn replica_that_ignores_its_pause_is_detected() {
     let fleet = Fleet::start(3).await;
-    // Of two that have received as much, `c` is chosen; `b` goes on receiving.
+    // Both replicas have received the same, so `c` is chosen; `b` continues to receive.
     fleet.world.change("b", |s| s.ignores_pause = true);
     let history = Arc::new(History::default());
     partition_from_the_old_leader(&fleet, &history).await;
@@ -322,7 +322,8 @@
     );
 }
 
-/// The replica that holds the commits is not known: its entry was never taken, or is forgotten.
+/// The replica that holds the commits is unknown because its entry was never read or was
+/// forgotten.
 #[tokio::test(start_paused = true)]
 async fn unknown_replica_blocks_promotions() {
     let fleet = Fleet::start(3).await;
@@ -331,7 +332,7 @@
     fleet.spawn_callers(&history);
     sleep(Duration::from_secs(2)).await;
     fleet.world.unlisted.lock().unwrap().insert("c".to_owned());
-    // The entry is forgotten, as one that went away long ago is.
+    // Wait until the entry is forgotten, like any that disappeared long ago.
     sleep(GONE_RETENTION + Duration::from_secs(10)).await;
     fleet.world.crash("a");
     sleep(Duration::from_secs(10)).await;
@@ -360,7 +361,7 @@
     );
 }
 
-/// A holder that does not notice the loss of its lease.
+/// The holder doesn't notice that it has lost its lease.
 #[tokio::test(start_paused = true)]
 async fn holder_that_ignores_the_loss_of_its_lease_is_detected() {
     let fleet = Fleet::start(3).await;
@@ -368,7 +369,7 @@
     fleet.spawn_callers(&history);
     let holder = fleet.lease().holder;
     fleet.records.fake_renewals_for(holder.as_str());
-    // Another process takes the lease that is not renewed.
+    // Another process takes the lease, which isn't really renewed.
     sleep(Duration::from_secs(4)).await;
     let mut decreasing = Vec::new();
     for _ in 0..12 {
--- a/crates/engine/tests/stand_in.rs
+++ b/crates/engine/tests/stand_in.rs
@@ -1,12 +1,12 @@
-//! What the stand-in of the servers takes from the platform's own.
+//! Checks that the simulated servers behave like the platform's servers where it matters.
 
 mod support;
 
 use stilequay_engine::ports::Control;
 use support::{Fleet, LEADER_DATABASE};
 
-/// A server that is demoted is shown to read what it had committed, however long replicas take
-/// to apply what they receive: its log tells the same position before and after.
+/// Reads at a demoted server still see what it had committed, regardless of the apply lag of
+/// replicas. Its log position is the same before and after the demotion.
 #[tokio::test(start_paused = true)]
 async fn demoted_server_still_shows_what_it_committed() {
     let fleet = Fleet::start(1).await;
--- a/crates/engine/tests/vouching.rs
+++ b/crates/engine/tests/vouching.rs
@@ -1,4 +1,4 @@
-//! Evidence for leaders' terms that the holder of the lease vouches for.
+//! Confirmation of leaders' terms by the lease holder, without reads of the store.
 
 mod support;
 
@@ -14,16 +14,17 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-/// Processes of a fleet in which homes hold the connections and an index names the holder.
+/// Number of processes of a fleet that is large enough for homes and a fleet index, which lists
+/// the lease holder.
 const PROCESSES: usize = 20;
-/// Time in which a fleet comes to rest: its index is written, and has reached all.
+/// Time until a new fleet's index is written and has reached all processes.
 const SETTLE_TIME: Duration = Duration::from_secs(4);
-/// Time in which a lost holder has a successor, which all know by the index.
+/// Time until a lost holder has a successor that all processes know from the index.
 const SUCCESSION_TIME: Duration = Duration::from_secs(8);
-/// Time over which readings are counted; evidence lasts for a small part of it.
+/// Period over which reads are counted: many times the validity of evidence.
 const MEASURED_PERIOD: Duration = Duration::from_secs(10);
 
-/// A fleet whose callers only read, from the leader: no commits bring evidence.
+/// Starts a fleet whose callers only send leader reads, so that no commits provide evidence.
 async fn reading_fleet() -> (Fleet, Arc<History>, Vec<JoinHandle<()>>) {
     let fleet = Fleet::start(PROCESSES).await;
     let history = Arc::new(History::default());
@@ -32,7 +33,7 @@
     (fleet, history, readers)
 }
 
-/// Reads answered, and readings of records at the store, in the time that is counted.
+/// Counts the answered reads and the reads of term records from the store in the measured period.
 async fn measure(fleet: &Fleet, history: &History) -> (usize, u64) {
     let (_, reads) = history.counts();
     let block_reads = fleet.records.block_reads();
@@ -61,7 +62,8 @@
     assert_eq!(block_reads, 0);
 }
 
-/// No answers of the holder arrive: each keeper goes to the store, as if nobody vouched.
+/// The holder's confirmations don't arrive, so the processes that provide evidence to the others
+/// read the store instead.
 #[tokio::test(start_paused = true)]
 async fn reads_are_answered_while_the_holder_is_unreachable() {
     let (fleet, _, _) = reading_fleet().await;
@@ -81,7 +83,7 @@
     }
 }
 
-/// What the process `to` vouches for when `from` asks it.
+/// The version of the newest term record that process `to` confirms to process `from`.
 async fn confirmed_version(fleet: &Fleet, from: usize, to: usize) -> Option<StoreVersion> {
     let network = fleet.peers.for_node(&fleet.nodes[from].name);
     let address = MemoryPeers::address_of(&fleet.nodes[to].name);
@@ -106,7 +108,7 @@
     }
 }
 
-/// It stood still while another took the lease, and may not have noticed.
+/// The holder was frozen while another process took the lease, and may not have noticed.
 #[tokio::test(start_paused = true)]
 async fn holder_that_was_frozen_past_its_lease_does_not_confirm_terms() {
     let (fleet, _, _) = reading_fleet().await;
@@ -122,7 +124,7 @@
     assert_eq!(version, None);
 }
 
-/// A change of leader is vouched for with the version of its record.
+/// After a change of leader, the holder confirms the version of the new term record.
 #[tokio::test(start_paused = true)]
 async fn holder_confirms_the_term_of_the_leader_that_it_promoted() {
     let (fleet, history, _) = reading_fleet().await;
--- a/crates/engine/tests/writes.rs
+++ b/crates/engine/tests/writes.rs
@@ -1,4 +1,4 @@
-//! What a caller is told of a write, whatever becomes of it.
+//! The outcomes of writes that are reported to callers.
 
 mod support;
 
@@ -29,7 +29,7 @@
     server.unresponsive = true;
 }
 
-/// What the caller is told, and how many commits there are in the end.
+/// Checks the reported verdict and reason, and the number of commits at the server.
 #[rstest]
 #[case::queue_is_full(queue_full, Verdict::NotRun, FailureReason::Overloaded, 0)]
 #[case::no_connections_left(connections_exhausted, Verdict::NotRun, FailureReason::Overloaded, 0)]
@@ -56,7 +56,7 @@
     assert_eq!(failure.verdict, verdict);
     assert_eq!(failure.reason, reason);
     assert_eq!(failure.retry_after.is_some(), verdict == Verdict::NotRun);
-    // Given up well before its time-out, on the paused clock.
+    // The write must fail well before its timeout, on the paused clock.
     assert!(asked.elapsed() < support::TIMEOUT.mul_f64(0.6));
     assert_eq!(fleet.world.server("a").log.len(), commits);
 }
