--- a/crates/engine/tests/following.rs
+++ b/crates/engine/tests/following.rs
@@ -264,15 +264,18 @@
     // that only the others are counted.
     cut.iter().for_each(|index| fleet.nodes[*index].abort());
     let counts = || {
-        let asked = fleet.peers.update_requests.load(Ordering::Relaxed);
-        (asked, fleet.peers.update_replies.load(Ordering::Relaxed))
+        let sent = fleet.peers.update_requests.load(Ordering::Relaxed);
+        (sent, fleet.peers.update_replies.load(Ordering::Relaxed))
     };
     let before = counts();
     sleep(Duration::from_secs(6)).await;
     let after = counts();
-    let (asked, told) = (after.0 - before.0, after.1 - before.1);
-    assert!(told > LARGE as u64, "{told}");
-    assert!(asked * 10 <= told * 13, "{asked} asked, {told} answered");
+    let (sent, answered) = (after.0 - before.0, after.1 - before.1);
+    assert!(answered > LARGE as u64, "{answered}");
+    assert!(
+        sent * 10 <= answered * 13,
+        "{sent} sent, {answered} answered"
+    );
 }
 
 /// All processes restart at once. Each must have a configuration proof and know the fleet within
--- a/crates/engine/tests/peers.rs
+++ b/crates/engine/tests/peers.rs
@@ -192,10 +192,10 @@
     declared::query(cut).await;
     assert_eq!(cut.configuration().as_deref(), Some(&newer));
     assert_eq!(cut.directory().version, version);
-    let Some(MemberState::Leaving(told)) = known() else {
+    let Some(MemberState::Leaving(departure)) = known() else {
         panic!("{:?}", known());
     };
-    assert!(told.earliest <= leaving.earliest && told.earliest.is_some());
+    assert!(departure.earliest <= leaving.earliest && departure.earliest.is_some());
     // A query in the other direction must not apply older state.
     let before = informed.directory().version;
     declared::query(informed).await;
@@ -228,15 +228,15 @@
         .directory()
         .with_entries(version, entries, Departure::at(now));
     engine.set_directory(next);
-    let told = declared::newer(engine, known, Instant::now());
-    let Some(DeclaredConfiguration::Changes(changes)) = told.configuration else {
-        panic!("{:?}", told.configuration);
+    let newer_state = declared::newer(engine, known, Instant::now());
+    let Some(DeclaredConfiguration::Changes(changes)) = newer_state.configuration else {
+        panic!("{:?}", newer_state.configuration);
     };
     assert_eq!((changes.routes.len(), changes.removed_routes.len()), (1, 1));
     assert_eq!(first.apply(changes.clone()), Some(later.clone()));
     // The changes don't apply to any other version.
     assert_eq!(later.apply(changes), None);
-    let directory = told.directory.expect("members");
+    let directory = newer_state.directory.expect("members");
     assert_eq!(directory.extent, DeclaredExtent::Changes);
     let names = directory.members.iter().map(|member| &*member.id);
     assert_eq!(names.collect::<Vec<&str>>(), ["c"]);
@@ -247,12 +247,12 @@
         directory: 0,
         evacuations: 0,
     };
-    let told = declared::newer(engine, no_versions, Instant::now());
+    let newer_state = declared::newer(engine, no_versions, Instant::now());
     assert!(matches!(
-        told.configuration,
+        newer_state.configuration,
         Some(DeclaredConfiguration::Whole(_))
     ));
-    assert_eq!(told.directory.expect("members").members.len(), 3);
+    assert_eq!(newer_state.directory.expect("members").members.len(), 3);
     let gone = engine.directory();
     let gone = gone.with_changes(
         version + 1,
@@ -279,9 +279,9 @@
         entries.map(|member| Member { changed, ..member }).collect()
     };
     let followed = Directory::default().with_entries(40, entries(40), now);
-    let read_anew = Directory::default().with_entries(900, entries(40), now);
-    assert_eq!((followed.version, read_anew.version), (40, 40));
-    let later = read_anew.with_entries(950, entries(40), now);
+    let reread = Directory::default().with_entries(900, entries(40), now);
+    assert_eq!((followed.version, reread.version), (40, 40));
+    let later = reread.with_entries(950, entries(40), now);
     assert_eq!(later.version, 40);
     // A missing entry is a change, with the version of the read.
     let [first, rest @ ..] = &entries(40)[..] else {
--- a/crates/engine/tests/simulation.rs
+++ b/crates/engine/tests/simulation.rs
@@ -281,19 +281,19 @@
 fn cut_all_but_one(fleet: &Fleet) -> String {
     let holder = fleet.lease().holder;
     let names = || fleet.nodes.iter().map(|node| node.name.clone());
-    let isolated_node = names().find(|name| name != holder.as_str());
-    let isolated_node = isolated_node.expect("a process without the lease");
-    let others = names().filter(|name| *name != isolated_node);
+    let connected_node = names().find(|name| name != holder.as_str());
+    let connected_node = connected_node.expect("a process without the lease");
+    let others = names().filter(|name| *name != connected_node);
     others.for_each(|name| fleet.network().cut(&name, "a"));
-    isolated_node
+    connected_node
 }
 
 /// One process still reaches the old leader but not the store; the others promote another leader.
 async fn partition_from_the_old_leader(fleet: &Fleet, history: &Arc<History>) {
     fleet.spawn_callers(history);
     sleep(Duration::from_secs(2)).await;
-    let isolated_node = cut_all_but_one(fleet);
-    fleet.records.refuse_node(&isolated_node, true);
+    let connected_node = cut_all_but_one(fleet);
+    fleet.records.refuse_node(&connected_node, true);
     // It doesn't learn of the change from other processes either.
     fleet.peers.set_isolated(true);
     until(|| !fleet.world.promotions().is_empty()).await;
@@ -350,8 +350,8 @@
     let history = Arc::new(History::default());
     fleet.spawn_callers(&history);
     sleep(Duration::from_secs(2)).await;
-    let isolated_node = cut_all_but_one(&fleet);
-    fleet.records.serve_stale_data_to(&isolated_node);
+    let connected_node = cut_all_but_one(&fleet);
+    fleet.records.serve_stale_data_to(&connected_node);
     until(|| !fleet.world.promotions().is_empty()).await;
     sleep(Duration::from_secs(4)).await;
     let violations = history.violations(&fleet.world);
--- a/crates/engine/tests/support/peers.rs
+++ b/crates/engine/tests/support/peers.rs
@@ -292,14 +292,14 @@
 fn with_tenants_swapped(frame: &Bytes) -> Bytes {
     let (one, two) = (b"\xa3one", b"\xa3two");
     let mut swapped = frame.to_vec();
-    for place in 0..frame.len().saturating_sub(one.len() - 1) {
-        let part = &frame[place..place + one.len()];
+    for offset in 0..frame.len().saturating_sub(one.len() - 1) {
+        let part = &frame[offset..offset + one.len()];
         let other = match part {
             part if part == one => two,
             part if part == two => one,
             _ => continue,
         };
-        swapped[place..place + one.len()].copy_from_slice(other);
+        swapped[offset..offset + one.len()].copy_from_slice(other);
     }
     swapped.into()
 }
--- a/crates/engine/tests/support/records.rs
+++ b/crates/engine/tests/support/records.rs
@@ -82,8 +82,8 @@
         self.state.lock().unwrap().fault = fault;
     }
 
-    /// From now on, shows one process only the current state. Reads are then not linearizable,
-    /// which violates the requirements on the store.
+    /// Freezes the state that one process reads, so that it sees no later writes. Its reads are
+    /// then not linearizable, which violates the requirements on the store.
     pub fn serve_stale_data_to(&self, node: &str) {
         let mut state = self.state.lock().unwrap();
         state.stale_state = Some((state.rows.clone(), state.version));
--- a/crates/engine/tests/support/servers/connection.rs
+++ b/crates/engine/tests/support/servers/connection.rs
@@ -57,7 +57,7 @@
         if server.connections_exhausted || max_connections.is_some_and(|most| open >= most) {
             return Err(ConnectError::TooManyConnections);
         }
-        if enter(&self.world, name).await.is_none() {
+        if acquire_slot(&self.world, name).await.is_none() {
             return Err(ConnectError::Busy);
         }
         let mut connections = self.world.connections.lock().unwrap();
@@ -179,12 +179,12 @@
 
     async fn run_text(&mut self, id: &str, text: &[u8]) -> Result<Answer, BackEndConnectionError> {
         let server = self.reach().await?;
-        let place = enter(&self.world, &self.server).await;
-        let Some(place) = place.filter(|_| !server.queue_full) else {
+        let permit = acquire_slot(&self.world, &self.server).await;
+        let Some(permit) = permit.filter(|_| !server.queue_full) else {
             return Ok(self.refuse(RefusalKind::Busy));
         };
         sleep(STATEMENT_TIME * server.slowdown).await;
-        drop(place);
+        drop(permit);
         let server = self.reach().await?;
         self.world.change(&self.server, |s| s.statements += 1);
         self.world.record_tenant(id, self.tenant.clone());
@@ -398,9 +398,9 @@
 }
 
 /// Waits for a slot at the server `name`; `None` if its queue is full.
-async fn enter(world: &World, name: &str) -> Option<SlotPermit> {
+async fn acquire_slot(world: &World, name: &str) -> Option<SlotPermit> {
     match world.slots_of(name) {
-        Some(slots) => slots.enter().await.map(Some),
+        Some(slots) => slots.acquire().await.map(Some),
         None => Some(None),
     }
 }
--- a/crates/engine/tests/support/servers/slots.rs
+++ b/crates/engine/tests/support/servers/slots.rs
@@ -23,7 +23,7 @@
     }
 
     /// Waits for a slot; `None` if the queue is full.
-    pub async fn enter(&self) -> Option<OwnedSemaphorePermit> {
+    pub async fn acquire(&self) -> Option<OwnedSemaphorePermit> {
         let running = Arc::clone(&self.running);
         if let Ok(permit) = Arc::clone(&running).try_acquire_owned() {
             return Some(permit);
--- a/crates/engine/tests/support/servers/world.rs
+++ b/crates/engine/tests/support/servers/world.rs
@@ -13,8 +13,8 @@
 use stilequay_engine::ports::PromotionOrder;
 use tokio::time::{Instant, sleep};
 
-/// Interval at which old leaders that can reach the new one are demoted.
-const OLD_LEADER_DEMOTION_DELAY: Duration = Duration::from_secs(1);
+/// Interval between checks for old leaders that can reach the new one and are therefore demoted.
+const OLD_LEADER_DEMOTION_INTERVAL: Duration = Duration::from_secs(1);
 
 /// All servers of the simulated group, and the network.
 #[derive(Debug)]
@@ -290,7 +290,7 @@
         let new = new.to_owned();
         tokio::spawn(async move {
             for _ in 0..200 {
-                sleep(OLD_LEADER_DEMOTION_DELAY).await;
+                sleep(OLD_LEADER_DEMOTION_INTERVAL).await;
                 let mut servers = world.lock();
                 let Some(newest) = servers.get(&new).map(|s| (s.term, s.log.clone())) else {
                     return;
