--- a/crates/engine/tests/evacuation.rs
+++ b/crates/engine/tests/evacuation.rs
@@ -12,7 +12,8 @@
 use stilequay_engine::verdict::{FailureReason, Verdict};
 use support::records::Fault;
 use support::{
-    BOUNDED_DATABASE, Client, Fleet, GROUP, LEADER_DATABASE, OWN_DATABASE, read, seen, until, write,
+    BOUNDED_DATABASE, Client, Fleet, GROUP, LEADER_DATABASE, OWN_DATABASE, read, read_row, until,
+    write,
 };
 use tokio::time::{Instant, sleep, sleep_until};
 
@@ -27,7 +28,7 @@
 }
 
 async fn start_fleet(nodes: usize) -> Fleet {
-    let fleet = Fleet::start_evacuated_within(BOUND, ZONES, nodes).await;
+    let fleet = Fleet::start_with_evacuation_bound(BOUND, ZONES, nodes).await;
     let is_known = |node: &support::Node| node.engine.homes().fleet().len() == nodes;
     until(|| fleet.nodes.iter().all(is_known)).await;
     sleep(Duration::from_secs(3)).await;
@@ -123,7 +124,7 @@
     let mut count_reads_at_b = async |reads: usize| {
         let mut count = 0;
         for _ in 0..reads {
-            count += usize::from(seen(&client.read("x").await).0 == "b");
+            count += usize::from(read_row(&client.read("x").await).0 == "b");
             sleep(Duration::from_millis(5)).await;
         }
         count
@@ -225,7 +226,7 @@
     let last = last_command_after(&fleet, "a", acked_at).await;
     assert!(last < BOUND, "{last:?}");
     let mut client = Client::open(&downstream.engine, BOUNDED_DATABASE);
-    assert_ne!(seen(&client.read("x").await).0, "a");
+    assert_ne!(read_row(&client.read("x").await).0, "a");
 }
 
 /// Processes that the store no longer answers, a third of all, learn from the others.
@@ -293,7 +294,7 @@
     sleep(Duration::from_secs(1)).await;
     let last = last_command_after(&fleet, "a", acked_at).await;
     assert!(last < BOUND, "{last:?}");
-    assert_ne!(seen(&new_client.read("x").await).0, "a");
+    assert_ne!(read_row(&new_client.read("x").await).0, "a");
     retry_write(&fleet, 3).await;
 }
 
@@ -348,7 +349,7 @@
     sleep(BOUND).await;
     let mut client = fleet.session(1, BOUNDED_DATABASE);
     for _ in 0..10 {
-        assert_eq!(seen(&client.read("x").await).0, "b");
+        assert_eq!(read_row(&client.read("x").await).0, "b");
     }
     assert_eq!(fleet.world.leader(), "a");
     assert!(fleet.world.promotions().is_empty());
@@ -400,7 +401,7 @@
     sleep(BOUND).await;
     let mut client = Client::open(&entry.engine, LEADER_DATABASE);
     for _ in 0..10 {
-        assert_eq!(seen(&client.read("x").await).0, "a");
+        assert_eq!(read_row(&client.read("x").await).0, "a");
     }
 }
 
@@ -416,7 +417,7 @@
     let requested_at = Instant::now();
     for statement in [read("x"), write("x 1")] {
         for database in [LEADER_DATABASE, BOUNDED_DATABASE, OWN_DATABASE] {
-            let reply = fleet.session(0, database).ask(statement.clone()).await;
+            let reply = fleet.session(0, database).send(statement.clone()).await;
             assert_eq!(
                 refusal_reason(&reply),
                 FailureReason::ZoneEvacuated,
@@ -441,12 +442,16 @@
 async fn leadership_waits_for_a_replica_that_is_behind() {
     let fleet = start_fleet(3).await;
     retry_write(&fleet, 0).await;
-    fleet.world.change("c", |server| server.deaf = true);
+    fleet
+        .world
+        .change("c", |server| server.not_receiving = true);
     retry_write(&fleet, 0).await;
     evacuate(&fleet, &["zone-a", "zone-b"]);
     sleep(Duration::from_secs(2)).await;
     assert!(fleet.world.promotions().is_empty());
-    fleet.world.change("c", |server| server.deaf = false);
+    fleet
+        .world
+        .change("c", |server| server.not_receiving = false);
     retry_write(&fleet, 0).await;
     sleep(Duration::from_secs(2)).await;
     assert_eq!(fleet.world.leader(), "c");
@@ -463,7 +468,7 @@
     assert!(client.begin(false).await.outcome.is_ok());
     let mut ids = Vec::new();
     while acked_at.elapsed() < BOUND.mul_f64(0.55) {
-        let (id, reply) = client.ask_as(write("x 1")).await;
+        let (id, reply) = client.send_with_id(write("x 1")).await;
         assert!(reply.outcome.is_ok(), "{reply:?}");
         ids.push(id);
         sleep(Duration::from_millis(100)).await;
--- a/crates/engine/tests/homes.rs
+++ b/crates/engine/tests/homes.rs
@@ -22,7 +22,7 @@
 use support::history::History;
 use support::{
     BOUNDED_DATABASE, Client, Fleet, GROUP, LEADER_DATABASE, Node, OWN_DATABASE, bytes,
-    configuration, seen, until,
+    configuration, read_row, until,
 };
 use tokio::time::{Instant, sleep, timeout};
 
@@ -291,7 +291,7 @@
         assert!(own.write("x 1").await.outcome.is_ok());
         assert!(own.read("x").await.outcome.is_ok());
         let mut leader = fleet.session(node, LEADER_DATABASE);
-        assert_eq!(seen(&leader.read("x").await).0, "a");
+        assert_eq!(read_row(&leader.read("x").await).0, "a");
         let engine = &fleet.nodes[node].engine;
         let connected = engine.pools().iter().any(|pool| pool.load().in_use > 0);
         assert!(!connected || homes.contains(&node));
@@ -323,7 +323,7 @@
     for _ in 0..3 {
         for (client, value) in [(&mut first, "one"), (&mut second, "two")] {
             let reply = client.execute("s", "x").await;
-            assert_eq!(seen(&reply).0, "a");
+            assert_eq!(read_row(&reply).0, "a");
             let expected = format!(" colour={value}");
             assert_eq!(reply.rows[1..], [support::bytes(&expected)]);
         }
@@ -373,7 +373,7 @@
     let mut client = fleet.session(node, OWN_DATABASE);
     assert!(client.write("x 0").await.outcome.is_ok());
     let before = fleet.world.server("a").log.len();
-    fleet.world.change("a", |server| server.slowness = 50);
+    fleet.world.change("a", |server| server.slowdown = 50);
     let writing = tokio::spawn(async move {
         let reply = client.write("x 1").await;
         (client, reply)
@@ -389,7 +389,7 @@
     }
     let (mut client, reply) = writing.await.expect("the write ends");
     assert_eq!(verdict(&reply), Some(Verdict::MayHaveRun), "{reply:?}");
-    fleet.world.change("a", |server| server.slowness = 1);
+    fleet.world.change("a", |server| server.slowdown = 1);
     // Other processes are the homes now.
     let served = async {
         while client.write("x 2").await.outcome.is_err() {
@@ -447,8 +447,8 @@
 #[tokio::test(start_paused = true)]
 async fn homes_limit_the_load_of_the_whole_fleet() {
     let fleet = start_large_fleet().await;
-    fleet.world.limit_slots(3, 24);
-    fleet.world.change("a", |server| server.slowness = 10);
+    fleet.world.set_slot_limits(3, 24);
+    fleet.world.change("a", |server| server.slowdown = 10);
     let callers = fleet.nodes.iter().flat_map(|node| {
         (0..3).map(|_| {
             let mut client = Client::open(&node.engine, LEADER_DATABASE);
@@ -639,13 +639,13 @@
     let mut fleet = start_large_fleet().await;
     let is_direct = |fleet: &Fleet, node: usize| fleet.nodes[node].engine.following().is_direct();
     let store_readers = wait_for_store_readers(&fleet).await;
-    let before = fleet.records.whole_reads();
+    let before = fleet.records.full_reads();
     store_readers.iter().for_each(|node| fleet.kill(*node));
     let others = (0..LARGE_FLEET).filter(|node| !store_readers.contains(node));
     let others: Vec<usize> = others.collect();
     until(|| others.iter().all(|node| is_direct(&fleet, *node))).await;
     sleep(Duration::from_secs(1)).await;
-    assert_eq!(fleet.records.whole_reads(), before);
+    assert_eq!(fleet.records.full_reads(), before);
     // They learn of later writes.
     let key = "node/another";
     let store = fleet.records.for_node("another");
--- a/crates/engine/tests/leadership.rs
+++ b/crates/engine/tests/leadership.rs
@@ -1,5 +1,5 @@
-//! Changes of leader under faults: nothing acknowledged is lost, and nobody is promoted
-//! who may lack a commit.
+//! Changes of leader under faults: no acknowledged commit is lost, and no member is promoted that
+//! may lack one.
 
 mod support;
 
@@ -12,13 +12,14 @@
 use stilequay_engine::leadership::record::{TermPhase, TermRecord};
 use stilequay_engine::verdict::{FailureReason, Verdict};
 use support::records::Fault;
-use support::{Client, Fleet, GROUP, LEADER_DATABASE, OWN_DATABASE, seen, until};
+use support::{Client, Fleet, GROUP, LEADER_DATABASE, OWN_DATABASE, read_row, until};
 use tokio::time::{Instant, sleep};
 
-/// Longest time in which a lost leader is replaced, on the paused clock.
+/// Maximum time until a lost leader is replaced, on the paused clock.
 const REPLACED_WITHIN: Duration = Duration::from_millis(2_500);
 
-/// Callers that write all the time at each process: only traffic makes a leader suspect.
+/// Spawns a caller at each process that writes continuously: leaders are only suspected if there
+/// is traffic.
 fn keep_writing(fleet: &Fleet) {
     for node in &fleet.nodes {
         let mut client = Client::open(&node.engine, OWN_DATABASE);
@@ -31,7 +32,7 @@
     }
 }
 
-/// Writes at one process until one is acknowledged.
+/// Retries a write at one process until it is acknowledged.
 async fn write_until_acknowledged(fleet: &Fleet, node: usize) {
     let mut client = fleet.session(node, LEADER_DATABASE);
     client
@@ -50,11 +51,11 @@
     fleet.world.crash("a");
 }
 
-fn go_dark(fleet: &Fleet) {
-    fleet.world.change("a", |server| server.dark = true);
+fn stop_responding(fleet: &Fleet) {
+    fleet.world.change("a", |server| server.unresponsive = true);
 }
 
-fn leave(fleet: &Fleet) {
+fn start_leaving(fleet: &Fleet) {
     let state = MemberState::Leaving(Departure::at(Instant::now()));
     fleet.world.change("a", |server| server.state = state);
 }
@@ -72,12 +73,12 @@
 
 #[rstest]
 #[case::crashed(crash)]
-#[case::dark(go_dark)]
-#[case::leaving(leave)]
+#[case::unresponsive(stop_responding)]
+#[case::leaving(start_leaving)]
 #[case::cut_from_all_processes(cut_from_all_processes)]
 #[case::cut_from_its_replicas(cut_from_replicas)]
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_is_lost_is_replaced_and_every_commit_kept(#[case] fault: fn(&Fleet)) {
+async fn lost_leader_is_replaced_without_losing_commits(#[case] fault: fn(&Fleet)) {
     let fleet = Fleet::start(3).await;
     write(&fleet, 5).await;
     fault(&fleet);
@@ -91,42 +92,52 @@
     assert_ne!(leader, "a");
     assert!(fleet.world.server(&leader).log.len() >= 8);
     let mut client = fleet.session(1, LEADER_DATABASE);
-    assert_eq!(seen(&client.read("x").await).0, leader);
+    assert_eq!(read_row(&client.read("x").await).0, leader);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_has_received_less_is_not_promoted() {
+async fn replica_that_is_behind_is_not_promoted() {
     let fleet = Fleet::start(2).await;
-    fleet.world.change("b", |server| server.deaf = true);
+    fleet
+        .world
+        .change("b", |server| server.not_receiving = true);
     write(&fleet, 5).await;
     fleet.world.crash("a");
     keep_writing(&fleet);
     until(|| !fleet.world.promotions().is_empty()).await;
-    fleet.world.change("b", |server| server.deaf = false);
+    fleet
+        .world
+        .change("b", |server| server.not_receiving = false);
     write_until_acknowledged(&fleet, 0).await;
     assert_eq!(fleet.world.leader(), "c");
 }
 
 #[tokio::test(start_paused = true)]
-async fn nobody_is_promoted_while_a_replica_that_may_hold_more_is_away() {
+async fn no_promotion_while_a_replica_that_may_hold_more_commits_is_unreachable() {
     let fleet = Fleet::start(2).await;
-    fleet.world.change("b", |server| server.deaf = true);
+    fleet
+        .world
+        .change("b", |server| server.not_receiving = true);
     write(&fleet, 5).await;
     fleet.world.crash("a");
-    fleet.world.change("c", |server| server.dark = true);
+    fleet.world.change("c", |server| server.unresponsive = true);
     keep_writing(&fleet);
     sleep(Duration::from_secs(6)).await;
     assert!(fleet.world.promotions().is_empty());
-    fleet.world.change("c", |server| server.dark = false);
+    fleet
+        .world
+        .change("c", |server| server.unresponsive = false);
     until(|| !fleet.world.promotions().is_empty()).await;
-    fleet.world.change("b", |server| server.deaf = false);
+    fleet
+        .world
+        .change("b", |server| server.not_receiving = false);
     write_until_acknowledged(&fleet, 0).await;
     assert_eq!(fleet.world.leader(), "c");
     assert!(fleet.world.server("c").log.len() >= 6);
 }
 
 #[tokio::test(start_paused = true)]
-async fn replicas_are_paused_before_the_order_and_receive_after_it() {
+async fn replicas_are_paused_before_the_promotion_order_and_resume_after_it() {
     let fleet = Fleet::start(2).await;
     write(&fleet, 3).await;
     cut_from_all_processes(&fleet);
@@ -148,7 +159,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_old_leader_gets_no_commit_acknowledged_after_the_order() {
+async fn old_leader_gets_no_commit_acknowledged_after_the_promotion_order() {
     let fleet = Fleet::start(2).await;
     write(&fleet, 3).await;
     fleet.network().cut("node-1", "a");
@@ -156,7 +167,7 @@
     keep_writing(&fleet);
     let world = Arc::clone(&fleet.world);
     until(|| !world.promotions().is_empty()).await;
-    // The cut heals: the old leader still believes in its term.
+    // The network heals while the old leader still considers its term valid.
     fleet.network().heal();
     assert_eq!(world.server("a").role, Role::Primary);
     write_until_acknowledged(&fleet, 0).await;
@@ -170,10 +181,10 @@
 }
 
 #[rstest]
-#[case::as_the_fence_is_recorded(TermPhase::Fencing)]
-#[case::as_the_target_is_recorded(TermPhase::Promoting)]
+#[case::after_recording_the_fence(TermPhase::Fencing)]
+#[case::after_recording_the_target(TermPhase::Promoting)]
 #[tokio::test(start_paused = true)]
-async fn what_one_holder_began_the_next_completes(#[case] phase: TermPhase) {
+async fn next_lease_holder_completes_an_unfinished_promotion(#[case] phase: TermPhase) {
     let mut fleet = Fleet::start(3).await;
     write(&fleet, 5).await;
     fleet.world.crash("a");
@@ -184,21 +195,21 @@
         TermRecord::decode(&record.value).ok()
     };
     until(|| recorded().is_some_and(|term| term.phase == phase)).await;
-    let holder = recorded().expect("recorded").holder;
+    let holder = recorded().expect("a term record").holder;
     let node = fleet
         .nodes
         .iter_mut()
         .find(|node| *node.name == *holder)
-        .expect("the holder");
+        .expect("the lease holder");
     node.kill();
     let survivor = fleet.nodes.iter().position(|node| *node.name != *holder);
-    write_until_acknowledged(&fleet, survivor.expect("another")).await;
+    write_until_acknowledged(&fleet, survivor.expect("another process")).await;
     assert!(fleet.world.server(&fleet.world.leader()).log.len() >= 6);
     assert_eq!(recorded().map(|term| term.phase), Some(TermPhase::Active));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_dies_with_the_leader_is_followed_although_others_report() {
+async fn leader_is_replaced_when_the_lease_holder_fails_with_it() {
     let mut fleet = Fleet::start(4).await;
     write(&fleet, 2).await;
     let holder = fleet.holder();
@@ -215,25 +226,28 @@
 }
 
 #[rstest]
-#[case::it_loses_answers(Fault::LosingAnswers, false)]
-#[case::it_refuses(Fault::Refusing, true)]
-#[case::it_is_silent(Fault::Silent, true)]
+#[case::store_loses_answers(Fault::LosingAnswers, false)]
+#[case::store_refuses(Fault::Refusing, true)]
+#[case::store_does_not_answer(Fault::Silent, true)]
 #[tokio::test(start_paused = true)]
-async fn a_promotion_outlasts_the_stores_faults(#[case] fault: Fault, #[case] stops: bool) {
+async fn promotion_completes_after_store_faults(
+    #[case] fault: Fault,
+    #[case] blocks_promotion: bool,
+) {
     let fleet = Fleet::start(2).await;
     write(&fleet, 5).await;
     fleet.records.set_fault(fault);
     fleet.world.crash("a");
     keep_writing(&fleet);
     sleep(Duration::from_secs(5)).await;
-    assert_eq!(fleet.world.promotions().is_empty(), stops);
+    assert_eq!(fleet.world.promotions().is_empty(), blocks_promotion);
     fleet.records.set_fault(Fault::None);
     write_until_acknowledged(&fleet, 0).await;
     assert!(fleet.world.server(&fleet.world.leader()).log.len() >= 6);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_target_that_dies_is_given_up_for_another() {
+async fn crashed_promotion_target_is_replaced_by_another() {
     let fleet = Fleet::start(2).await;
     write(&fleet, 5).await;
     fleet.world.crash("a");
@@ -242,26 +256,27 @@
     until(|| !world.promotions().is_empty()).await;
     let target = world.promotions()[0].target.clone();
     world.crash(&target);
-    // The other replica alone can't be known to hold everything: one has to come back.
+    // The other replica alone may lack commits, so another member has to return.
     world.restart("a");
     write_until_acknowledged(&fleet, 0).await;
     assert!(world.server(&world.leader()).log.len() >= 6);
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_last_member_is_not_promoted_again_and_again() {
+async fn last_member_is_not_promoted_repeatedly() {
     let fleet = Fleet::start(2).await;
     write(&fleet, 2).await;
     fleet.world.crash("b");
     fleet.world.crash("c");
     let mut client = fleet.session(0, LEADER_DATABASE);
-    let mut promised = 0;
+    let mut refused_not_run = 0;
     for _ in 0..20 {
         let failure = client.write("x 1").await.outcome.expect_err("no replica");
-        promised += usize::from(failure.reason == FailureReason::NoReplica);
+        refused_not_run += usize::from(failure.reason == FailureReason::NoReplica);
     }
-    // Once the stall is known, writes are refused unrun, and transactions rolled back.
-    assert!(promised >= 15, "{promised}");
+    // Once the stall is detected, writes are refused before they run, and transactions are rolled
+    // back.
+    assert!(refused_not_run >= 15, "{refused_not_run}");
     client.begin(false).await;
     assert!(client.write("x 1").await.outcome.is_ok());
     let failure = client.commit().await.outcome.expect_err("no replica");
@@ -273,28 +288,32 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_takes_no_more_connections_is_not_suspected() {
+async fn leader_that_refuses_new_connections_is_not_suspected() {
     let fleet = Fleet::start(2).await;
     write(&fleet, 2).await;
-    // Idle connections end after a while; new ones are refused.
+    // The connections are idle long enough to be closed; new ones are refused.
     sleep(Duration::from_secs(4)).await;
     fleet
         .nodes
         .iter()
         .for_each(|node| node.engine.close_unused_connections());
-    fleet.world.change("a", |server| server.full = true);
+    fleet
+        .world
+        .change("a", |server| server.connections_exhausted = true);
     let mut client = fleet.session(0, LEADER_DATABASE);
     for _ in 0..10 {
         let _ = client.write("x 1").await;
     }
     assert!(fleet.world.promotions().is_empty());
-    fleet.world.change("a", |server| server.full = false);
+    fleet
+        .world
+        .change("a", |server| server.connections_exhausted = false);
     write_until_acknowledged(&fleet, 0).await;
     assert_eq!(fleet.world.leader(), "a");
 }
 
 #[tokio::test(start_paused = true)]
-async fn orders_carry_the_holder_and_a_number_that_never_falls() {
+async fn promotion_orders_carry_the_holder_and_nondecreasing_fencing_numbers() {
     let mut fleet = Fleet::start(3).await;
     write(&fleet, 1).await;
     for _ in 0..3 {
@@ -310,7 +329,7 @@
             .holder
             .clone();
         let index = fleet.nodes.iter().position(|node| *node.name == *holder);
-        let index = index.expect("the holder");
+        let index = index.expect("the lease holder");
         if index > 0 {
             fleet.nodes[index].kill();
             let name = fleet.nodes[index].name.clone();
@@ -323,7 +342,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_process_cut_from_the_store_goes_on_and_follows_once_it_is_back() {
+async fn process_without_the_store_continues_and_catches_up_on_reconnect() {
     let fleet = Fleet::start(3).await;
     write(&fleet, 2).await;
     fleet.records.refuse_node("node-2", true);
@@ -340,19 +359,21 @@
     assert_eq!(fleet.epoch(2), fleet.epoch(0));
 }
 
-/// All processes end while the leader and a replica are away and their entries have gone:
-/// those that begin then must not take the member that is left for the only one.
+/// All processes are replaced while the leader and a replica are unreachable and their entries are
+/// missing. The new processes must not assume that the remaining member is the only one.
 #[tokio::test(start_paused = true)]
-async fn members_that_are_away_are_known_after_all_processes_were_replaced() {
+async fn absent_members_are_remembered_after_all_processes_are_replaced() {
     let mut fleet = Fleet::start(2).await;
     write(&fleet, 3).await;
-    fleet.world.change("b", |server| server.deaf = true);
+    fleet
+        .world
+        .change("b", |server| server.not_receiving = true);
     write(&fleet, 3).await;
     fleet.world.crash("a");
-    fleet.world.change("c", |server| server.dark = true);
+    fleet.world.change("c", |server| server.unresponsive = true);
     fleet
         .world
-        .hidden
+        .unlisted
         .lock()
         .unwrap()
         .extend(["a".to_owned(), "c".to_owned()]);
@@ -364,24 +385,26 @@
     }
     let started = |node: &support::Node| node.engine.is_started();
     until(|| fleet.nodes.iter().all(started)).await;
-    // Nor do its positions cover what was acknowledged.
+    // The remaining member's position must not count as covering the acknowledged commits either.
     let mut reader = fleet.session(0, OWN_DATABASE);
     for _ in 0..10 {
         assert!(reader.read("x").await.outcome.is_err());
         sleep(Duration::from_millis(500)).await;
     }
     assert!(fleet.world.promotions().is_empty());
-    // The replica comes back, and holds what was acknowledged.
-    fleet.world.change("c", |server| server.dark = false);
-    fleet.world.hidden.lock().unwrap().remove("c");
+    // The replica that returns holds the acknowledged commits.
+    fleet
+        .world
+        .change("c", |server| server.unresponsive = false);
+    fleet.world.unlisted.lock().unwrap().remove("c");
     until(|| !fleet.world.promotions().is_empty()).await;
     assert_eq!(&*fleet.world.promotions()[0].target, "c");
 }
 
-/// Commits that are acknowledged late bring evidence that is too old, one after the other.
-/// They do not keep a read from asking for newer evidence.
+/// A series of commits that are acknowledged late provides evidence that is already too old. It
+/// must not keep a read from requesting newer evidence.
 #[tokio::test(start_paused = true)]
-async fn old_evidence_does_not_hold_up_the_asking_for_new() {
+async fn old_evidence_does_not_delay_the_search_for_new_evidence() {
     let fleet = Fleet::start(1).await;
     let engine = Arc::clone(&fleet.nodes[0].engine);
     let group = engine.group(&Arc::from(GROUP));
@@ -404,26 +427,27 @@
     assert!(leased.is_some());
 }
 
-/// Entries may go away because the store takes too few of them, and come back: a leader that
-/// answers as one is kept meanwhile, and replaced in time if it has really left.
+/// An entry may disappear temporarily because the store accepts too few updates. A member that
+/// still answers as the leader is kept in the meantime, and replaced in time if the entry doesn't
+/// return.
 #[rstest]
-#[case::and_comes_back(true)]
-#[case::and_stays_away(false)]
+#[case::entry_returns(true)]
+#[case::entry_stays_missing(false)]
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_answers_is_kept_while_its_entry_is_away(#[case] comes_back: bool) {
+async fn responding_leader_is_kept_while_its_entry_is_missing(#[case] returns: bool) {
     let fleet = Fleet::start(3).await;
     write(&fleet, 1).await;
     keep_writing(&fleet);
-    let hide = || fleet.world.hidden.lock().unwrap().insert("a".to_owned());
+    let hide = || fleet.world.unlisted.lock().unwrap().insert("a".to_owned());
     hide();
     sleep(Duration::from_millis(2_850)).await;
     assert_eq!(fleet.epoch(0), 0);
-    if comes_back {
-        fleet.world.hidden.lock().unwrap().remove("a");
+    if returns {
+        fleet.world.unlisted.lock().unwrap().remove("a");
         sleep(Duration::from_secs(4)).await;
         assert_eq!(fleet.epoch(0), 0);
     } else {
-        // While it is still used: nobody is without a leader.
+        // It is replaced while it is still in use, so the group is never without a leader.
         sleep(Duration::from_millis(1_000)).await;
         assert!(fleet.epoch(0) > 0);
     }
--- a/crates/engine/tests/peers.rs
+++ b/crates/engine/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What processes learn from one another while the store does not serve them.
+//! What processes learn from one another while the store is unavailable to them.
 
 mod support;
 
@@ -16,7 +16,7 @@
     DeclaredConfiguration, DeclaredExtent, DeclaredVersions, PeerNetwork,
 };
 use support::records::Fault;
-use support::{Client, Fleet, GROUP, LEADER_DATABASE, OWN_DATABASE, seen, until};
+use support::{Client, Fleet, GROUP, LEADER_DATABASE, OWN_DATABASE, read_row, until};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep, timeout};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
@@ -31,7 +31,7 @@
     });
 }
 
-async fn until_all_are_known(fleet: &Fleet) {
+async fn until_all_processes_are_known(fleet: &Fleet) {
     let known = || {
         let mut nodes = fleet.nodes.iter();
         nodes.all(|node| node.engine.processes() == fleet.nodes.len())
@@ -42,24 +42,24 @@
 #[tokio::test(start_paused = true)]
 async fn commits_through_one_process_are_evidence_for_another() {
     let fleet = Fleet::start(2).await;
-    until_all_are_known(&fleet).await;
+    until_all_processes_are_known(&fleet).await;
     keep_writing(&fleet, 1);
     fleet.records.set_fault(Fault::Silent);
     sleep(Duration::from_secs(2)).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     for _ in 0..10 {
-        assert_eq!(seen(&client.read("x").await).0, "a");
+        assert_eq!(read_row(&client.read("x").await).0, "a");
         sleep(Duration::from_millis(300)).await;
     }
-    fleet.peers.set_away(true);
+    fleet.peers.set_isolated(true);
     sleep(Duration::from_secs(1)).await;
     assert!(client.read("x").await.outcome.is_err());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_process_that_the_store_turns_away_learns_of_a_new_leader() {
+async fn process_refused_by_the_store_learns_of_a_new_leader() {
     let fleet = Fleet::start(3).await;
-    until_all_are_known(&fleet).await;
+    until_all_processes_are_known(&fleet).await;
     let holder = fleet.lease().holder;
     let cut = (0..3).find(|index| fleet.nodes[*index].name != holder.as_str());
     let cut = cut.expect("a process without the lease");
@@ -69,7 +69,7 @@
     let group = fleet.nodes[cut].engine.group(&Arc::from(GROUP));
     until(|| group.view().epoch == 1 && group.view().confirmed).await;
     let mut client = fleet.session(cut, LEADER_DATABASE);
-    // It counts the new leader's wait from when it learned of it.
+    // The wait before the new leader may be used starts when this process learns of it.
     let written = async {
         while client.write("x 1").await.outcome.is_err() {
             sleep(Duration::from_millis(20)).await;
@@ -77,11 +77,11 @@
     };
     let written = timeout(Duration::from_secs(1), written).await;
     written.expect("a write is acknowledged");
-    assert_eq!(seen(&client.read("x").await).0, fleet.world.leader());
+    assert_eq!(read_row(&client.read("x").await).0, fleet.world.leader());
 }
 
 #[tokio::test]
-async fn questions_and_answers_go_over_tcp() {
+async fn queries_work_over_tcp() {
     tokio::time::pause();
     let fleet = Fleet::start(1).await;
     tokio::time::resume();
@@ -99,21 +99,21 @@
     let leader = snapshots[0].leader.as_ref().expect("a leader");
     assert!(leader.confirmed);
     assert!(leader.evidence_age_ms.is_some());
-    let nothing = DeclaredVersions {
+    let no_versions = DeclaredVersions {
         configuration: 0,
         directory: 0,
         evacuations: 0,
     };
-    let state = TcpPeers.query_declared(address, nothing).await;
+    let state = TcpPeers.query_declared(address, no_versions).await;
     let state = state.expect("an answer");
-    let expected = engine.configuration().expect("one");
+    let expected = engine.configuration().expect("a configuration");
     let whole = DeclaredConfiguration::Whole(expected.as_ref().clone());
     assert_eq!(state.configuration, Some(whole));
     assert_eq!(state.directory.expect("members").members.len(), 3);
     let all = declared::known_versions(&engine);
     let state = TcpPeers.query_declared(address, all).await;
     assert!(state.expect("an answer").configuration.is_none());
-    // What makes no sense gets no answer, and the next question does.
+    // An invalid message gets no answer; a later query does.
     let stream = TcpStream::connect(address).await.expect("connected");
     let mut frames = Framed::new(stream, LengthDelimitedCodec::new());
     frames
@@ -124,7 +124,7 @@
     assert!(TcpPeers.query_groups(address, &groups).await.is_ok());
 }
 
-fn change_of_leader(phase: TermPhase) -> TermRecord {
+fn term_record(phase: TermPhase) -> TermRecord {
     TermRecord {
         group: Arc::from(GROUP),
         epoch: 1,
@@ -138,23 +138,23 @@
     }
 }
 
-/// What a process knows of the old leader, which is being fenced off, says nothing of the
-/// target, although both belong to one epoch.
+/// Knowledge of the old leader, which is being fenced, must not be applied to the promotion
+/// target, although both belong to the same epoch.
 #[tokio::test(start_paused = true)]
-async fn what_is_believed_of_the_old_leader_is_not_taken_for_the_target() {
+async fn knowledge_of_the_old_leader_is_not_applied_to_the_target() {
     let fleet = Fleet::start(2).await;
-    until_all_are_known(&fleet).await;
+    until_all_processes_are_known(&fleet).await;
     let groups = fleet
         .nodes
         .iter()
         .map(|n| n.engine.group(&Arc::from(GROUP)));
     let groups: Vec<_> = groups.collect();
     let now = Instant::now();
-    let fencing = change_of_leader(TermPhase::Fencing);
+    let fencing = term_record(TermPhase::Fencing);
     groups.iter().for_each(|group| {
         group.apply_record(&fencing, Some(now), now);
     });
-    let promoting = change_of_leader(TermPhase::Promoting);
+    let promoting = term_record(TermPhase::Promoting);
     groups[1].apply_record(&promoting, None, now);
     let before = (groups[1].view(), groups[1].evidence());
     query(&fleet.nodes[1].engine, &[Arc::from(GROUP)]).await;
@@ -162,17 +162,21 @@
     assert!(!before.0.confirmed);
 }
 
-/// A process that the store turns away takes newer documents and members from others, and
-/// never older ones.
+/// A process that the store refuses takes newer configurations and members from peers, but never
+/// older ones.
 #[tokio::test(start_paused = true)]
-async fn what_was_declared_is_learned_from_other_processes() {
+async fn declared_state_is_learned_from_other_processes() {
     let fleet = Fleet::start(2).await;
-    until_all_are_known(&fleet).await;
-    let [knowing, cut] = [&fleet.nodes[0].engine, &fleet.nodes[1].engine];
-    let mut newer = knowing.configuration().expect("one").as_ref().clone();
+    until_all_processes_are_known(&fleet).await;
+    let [informed, cut] = [&fleet.nodes[0].engine, &fleet.nodes[1].engine];
+    let mut newer = informed
+        .configuration()
+        .expect("a configuration")
+        .as_ref()
+        .clone();
     newer.version += 5;
     newer.transaction_idle = None;
-    assert!(knowing.set_configuration(newer.clone()));
+    assert!(informed.set_configuration(newer.clone()));
     let now = Instant::now();
     let leaving = Departure {
         learned_at: now,
@@ -184,26 +188,26 @@
     let known = || cut.directory().member("c").map(|member| member.state);
     let entries = fleet.world.entries();
     let version = cut.directory().version + 1_000_000;
-    knowing.set_directory(knowing.directory().with_entries(version, entries, leaving));
+    informed.set_directory(informed.directory().with_entries(version, entries, leaving));
     declared::query(cut).await;
     assert_eq!(cut.configuration().as_deref(), Some(&newer));
     assert_eq!(cut.directory().version, version);
-    let Some(MemberState::Leaving(told)) = known() else {
+    let Some(MemberState::Leaving(departure)) = known() else {
         panic!("{:?}", known());
     };
-    assert!(told.earliest <= leaving.earliest && told.earliest.is_some());
-    // Asked the other way round, nothing older is taken.
-    let before = knowing.directory().version;
-    declared::query(knowing).await;
-    assert_eq!(knowing.directory().version, before);
+    assert!(departure.earliest <= leaving.earliest && departure.earliest.is_some());
+    // A query in the other direction must not apply older state.
+    let before = informed.directory().version;
+    declared::query(informed).await;
+    assert_eq!(informed.directory().version, before);
 }
 
-/// Only what has changed is told, where the rest is known to be known.
+/// A peer that knows an earlier version is sent only the changes since then.
 #[tokio::test(start_paused = true)]
-async fn what_has_changed_is_told_and_no_more() {
+async fn only_changes_are_sent() {
     let fleet = Fleet::start(1).await;
     let engine = &fleet.nodes[0].engine;
-    let first = engine.configuration().expect("one");
+    let first = engine.configuration().expect("a configuration");
     let known = declared::known_versions(engine);
     let mut later = first.as_ref().clone();
     later.version += 1;
@@ -218,36 +222,37 @@
     let now = Instant::now();
     let mut entries = fleet.world.entries();
     let changed = entries.iter_mut().find(|member| &*member.id == "c");
-    changed.expect("one").state = MemberState::Leaving(Departure::at(now));
+    changed.expect("member c").state = MemberState::Leaving(Departure::at(now));
     let version = known.directory + 1_000_000;
     let next = engine
         .directory()
         .with_entries(version, entries, Departure::at(now));
     engine.set_directory(next);
-    let told = declared::newer(engine, known, Instant::now());
-    let Some(DeclaredConfiguration::Changes(changes)) = told.configuration else {
-        panic!("{:?}", told.configuration);
+    let newer_state = declared::newer(engine, known, Instant::now());
+    let Some(DeclaredConfiguration::Changes(changes)) = newer_state.configuration else {
+        panic!("{:?}", newer_state.configuration);
     };
     assert_eq!((changes.routes.len(), changes.removed_routes.len()), (1, 1));
     assert_eq!(first.apply(changes.clone()), Some(later.clone()));
-    // They are of no use to who knows another version.
+    // The changes don't apply to any other version.
     assert_eq!(later.apply(changes), None);
-    let directory = told.directory.expect("members");
+    let directory = newer_state.directory.expect("members");
     assert_eq!(directory.extent, DeclaredExtent::Changes);
     let names = directory.members.iter().map(|member| &*member.id);
     assert_eq!(names.collect::<Vec<&str>>(), ["c"]);
-    // Who knows nothing, or what is forgotten, is told everything.
-    let nothing = DeclaredVersions {
+    // A peer that knows nothing, or only a version whose later changes were forgotten, is sent
+    // everything.
+    let no_versions = DeclaredVersions {
         configuration: 0,
         directory: 0,
         evacuations: 0,
     };
-    let told = declared::newer(engine, nothing, Instant::now());
+    let newer_state = declared::newer(engine, no_versions, Instant::now());
     assert!(matches!(
-        told.configuration,
+        newer_state.configuration,
         Some(DeclaredConfiguration::Whole(_))
     ));
-    assert_eq!(told.directory.expect("members").members.len(), 3);
+    assert_eq!(newer_state.directory.expect("members").members.len(), 3);
     let gone = engine.directory();
     let gone = gone.with_changes(
         version + 1,
@@ -263,10 +268,10 @@
     assert!(forgotten.changes_since(version + 1).is_some());
 }
 
-/// The store's version rises with every write in it. Who has read all entries anew tells
-/// nobody what has not changed since.
+/// The store's version increases with every write. A process that has reread all entries must not
+/// report unchanged ones as changes.
 #[tokio::test(start_paused = true)]
-async fn entries_that_are_read_anew_are_no_news() {
+async fn unchanged_entries_that_are_reread_are_not_changes() {
     let fleet = Fleet::start(1).await;
     let now = Departure::at(Instant::now());
     let entries = |changed: u64| -> Vec<Member> {
@@ -274,11 +279,11 @@
         entries.map(|member| Member { changed, ..member }).collect()
     };
     let followed = Directory::default().with_entries(40, entries(40), now);
-    let read_anew = Directory::default().with_entries(900, entries(40), now);
-    assert_eq!((followed.version, read_anew.version), (40, 40));
-    let later = read_anew.with_entries(950, entries(40), now);
+    let reread = Directory::default().with_entries(900, entries(40), now);
+    assert_eq!((followed.version, reread.version), (40, 40));
+    let later = reread.with_entries(950, entries(40), now);
     assert_eq!(later.version, 40);
-    // What is missing is a change, as of the reading.
+    // A missing entry is a change, with the version of the read.
     let [first, rest @ ..] = &entries(40)[..] else {
         panic!("no entries");
     };
@@ -287,7 +292,7 @@
     let changed = without.changes_since(40).expect("all changes");
     let changed: Vec<&str> = changed.map(|member| &*member.id).collect();
     assert_eq!(changed, [&*first.id]);
-    // And so is an entry that differs, whatever version it tells.
+    // So is an entry with a different content, whatever version it has.
     let mut slower = entries(40);
     slower[1].slots = 1;
     assert_eq!(later.with_entries(970, slower, now).version, 970);
--- a/crates/engine/tests/reads.rs
+++ b/crates/engine/tests/reads.rs
@@ -1,15 +1,15 @@
-//! Which member runs a read, and how fresh it is.
+//! Which member serves a read, and how recent the result is.
 
 mod support;
 
 use std::time::Duration;
 use stilequay_engine::verdict::{FailureReason, Verdict};
 use support::records::Fault;
-use support::{BOUNDED_DATABASE, Fleet, LEADER_DATABASE, OWN_DATABASE, STALENESS, seen};
+use support::{BOUNDED_DATABASE, Fleet, LEADER_DATABASE, OWN_DATABASE, STALENESS, read_row};
 use tokio::time::{Instant, sleep};
 
 #[tokio::test(start_paused = true)]
-async fn a_session_reads_what_it_wrote_also_where_replicas_apply_late() {
+async fn session_reads_its_own_writes_when_replicas_lag() {
     let fleet = Fleet::start(1).await;
     for replica in ["b", "c"] {
         fleet.world.change(replica, |server| {
@@ -19,12 +19,12 @@
     let mut client = fleet.session(0, OWN_DATABASE);
     for commits in 1..=20 {
         client.write("x 1").await;
-        assert_eq!(seen(&client.read("x").await).1, commits);
+        assert_eq!(read_row(&client.read("x").await).1, commits);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_bounded_read_sees_what_was_committed_longer_ago_than_its_bound() {
+async fn bounded_read_sees_commits_older_than_its_bound() {
     let fleet = Fleet::start(1).await;
     for replica in ["b", "c"] {
         fleet.world.change(replica, |server| {
@@ -36,50 +36,52 @@
     writer.write("x 1").await;
     sleep(STALENESS + Duration::from_millis(50)).await;
     for _ in 0..10 {
-        assert_eq!(seen(&reader.read("x").await), ("a".to_owned(), 1));
+        assert_eq!(read_row(&reader.read("x").await), ("a".to_owned(), 1));
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_member_is_passed_over_within_the_reads_time() {
+async fn unresponsive_member_is_skipped_within_the_timeout_of_the_read() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, BOUNDED_DATABASE);
-    let (first, _) = seen(&client.read("x").await);
-    fleet.world.change(&first, |server| server.dark = true);
+    let (first, _) = read_row(&client.read("x").await);
+    fleet
+        .world
+        .change(&first, |server| server.unresponsive = true);
     let asked = Instant::now();
-    let (second, _) = seen(&client.read("x").await);
+    let (second, _) = read_row(&client.read("x").await);
     assert_ne!(first, second);
     assert!(asked.elapsed() < Duration::from_millis(300));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_read_whose_answer_is_broken_off_runs_at_another_member() {
+async fn interrupted_read_runs_at_another_member() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, BOUNDED_DATABASE);
-    let (first, _) = seen(&client.read("x").await);
+    let (first, _) = read_row(&client.read("x").await);
     fleet.world.crash(&first);
     assert!(client.read("x").await.outcome.is_ok());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_leader_read_needs_evidence_that_the_leader_still_leads() {
+async fn leader_read_needs_evidence_that_the_term_continues() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
-    assert_eq!(seen(&client.read("x").await).0, "a");
+    assert_eq!(read_row(&client.read("x").await).0, "a");
     fleet.records.set_fault(Fault::Refusing);
     sleep(Duration::from_secs(1)).await;
     let failure = client.read("x").await.outcome.expect_err("no evidence");
     assert_eq!(failure.reason, FailureReason::NoLeader);
     assert_eq!(failure.verdict, Verdict::NotRun);
-    // A commit that a replica has received is such evidence, without the store.
+    // A commit that a replica has received is evidence too, and doesn't need the store.
     assert!(client.write("x 1").await.outcome.is_ok());
-    assert_eq!(seen(&client.read("x").await), ("a".to_owned(), 1));
+    assert_eq!(read_row(&client.read("x").await), ("a".to_owned(), 1));
     sleep(Duration::from_secs(1)).await;
     assert!(client.read("x").await.outcome.is_err());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_commit_elsewhere_wakes_a_leader_read_that_waits_for_evidence() {
+async fn commit_of_another_session_wakes_a_leader_read_that_waits_for_evidence() {
     let fleet = Fleet::start(1).await;
     fleet.records.set_fault(Fault::Silent);
     sleep(Duration::from_secs(1)).await;
@@ -99,20 +101,22 @@
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, OWN_DATABASE);
     client.write("x 1").await;
-    // Without the store nobody can be promoted.
+    // Without the store, no member can be promoted.
     fleet.records.set_fault(Fault::Refusing);
     fleet.world.crash("a");
     for _ in 0..20 {
         sleep(Duration::from_millis(300)).await;
-        assert_eq!(seen(&client.read("x").await).1, 1);
+        assert_eq!(read_row(&client.read("x").await).1, 1);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_read_is_served_by_a_replica_that_may_lack_a_commit() {
+async fn replica_that_may_lack_a_commit_serves_no_reads() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, OWN_DATABASE);
-    fleet.world.change("c", |server| server.deaf = true);
+    fleet
+        .world
+        .change("c", |server| server.not_receiving = true);
     client.write("x 1").await;
     fleet.records.set_fault(Fault::Refusing);
     fleet.world.crash("a");
@@ -123,15 +127,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_read_only_transaction_stays_at_one_member_and_sees_the_sessions_commits() {
+async fn read_only_transaction_runs_at_one_member_and_sees_the_sessions_commits() {
     let fleet = Fleet::start(1).await;
     let mut client = fleet.session(0, OWN_DATABASE);
     client.write("x 1").await;
     client.begin(true).await;
-    let (server, commits) = seen(&client.read("x").await);
+    let (server, commits) = read_row(&client.read("x").await);
     assert_eq!(commits, 1);
     for _ in 0..3 {
-        assert_eq!(seen(&client.read("x").await).0, server);
+        assert_eq!(read_row(&client.read("x").await).0, server);
     }
     assert!(client.commit().await.outcome.expect("committed").is_some());
 }
--- a/crates/engine/tests/residency.rs
+++ b/crates/engine/tests/residency.rs
@@ -20,7 +20,7 @@
 use support::records::Fault;
 use support::{
     BOUNDED_DATABASE, Client, Fleet, LEADER_DATABASE, Node, OWN_DATABASE, configuration, read,
-    seen, until, write,
+    read_row, until, write,
 };
 use tokio::time::{Instant, sleep};
 
@@ -107,7 +107,7 @@
     });
     let tenants = tenants.filter(|_| !next.tenants.is_empty());
     let fleet = Fleet::start_in_regions(zones, nodes, tenants, regions).await;
-    fleet.peers.keeps_frames.store(true, Ordering::Relaxed);
+    fleet.peers.records_frames.store(true, Ordering::Relaxed);
     until(|| {
         fleet.nodes.iter().all(|node| {
             let homes = node.engine.homes();
@@ -159,7 +159,7 @@
     for (node, id) in statements {
         let servers = fleet.world.servers_reached(id).into_iter();
         found.extend(servers.filter(|server| !NORTHERN.contains(&server.as_str())));
-        let processes = fleet.peers.processes_passed(id).into_iter();
+        let processes = fleet.peers.processes_reached(id).into_iter();
         let processes = processes.filter(|process| *process != fleet.nodes[*node].name);
         found.extend(processes.filter(|process| !is_northern(&zone_of(process))));
     }
@@ -208,7 +208,7 @@
             client.begin(false).await;
             let statements = [write("x 1"), read("x"), Statement::Commit, write("x 2")];
             for statement in statements.into_iter().chain([read("x"), read("x")]) {
-                let (id, reply) = client.ask_as(statement).await;
+                let (id, reply) = client.send_with_id(statement).await;
                 assert!(reply.outcome.is_ok(), "{reply:?}");
                 assert!(!fleet.world.servers_reached(&id).is_empty());
                 ids.push((node, id));
@@ -223,7 +223,7 @@
     let fleet = start_fleet(4, restrict_all_to(2, SOUTH)).await;
     for node in 0..4 {
         let mut client = fleet.session(node, BOUNDED_DATABASE);
-        assert_eq!(seen(&client.read("x").await).0, "c");
+        assert_eq!(read_row(&client.read("x").await).0, "c");
     }
 }
 
@@ -241,11 +241,11 @@
     let fleet = start_fleet(4, restrict_all_to(2, SOUTH)).await;
     let mut client = fleet.session(0, database);
     let requested_at = Instant::now();
-    let (id, reply) = client.ask_as(statement.clone()).await;
+    let (id, reply) = client.send_with_id(statement.clone()).await;
     assert_eq!(reason(&reply), Some(FailureReason::OutsideHomeRegions));
     assert!(requested_at.elapsed() < Duration::from_millis(1));
     client.begin(false).await;
-    let (in_transaction, reply) = client.ask_as(statement).await;
+    let (in_transaction, reply) = client.send_with_id(statement).await;
     assert_eq!(reason(&reply), Some(FailureReason::OutsideHomeRegions));
     for id in [id, in_transaction] {
         assert!(fleet.world.servers_reached(&id).is_empty());
@@ -288,7 +288,7 @@
     let fleet = start_fleet(4, next).await;
     for node in &fleet.nodes {
         let mut client = Client::open_with(&node.engine, BOUNDED_DATABASE, Some(credential));
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         let servers = fleet.world.servers_reached(&id);
         match allowed {
             Some(allowed) => {
@@ -322,7 +322,7 @@
     let mut ids = Vec::new();
     let mut completed = 0;
     for _ in 0..20 {
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         completed += usize::from(reply.outcome.is_ok());
         ids.push((node, id));
     }
@@ -355,9 +355,9 @@
         engine.set_directory(Directory::default());
     }
     let mut client = fleet.session(node, LEADER_DATABASE);
-    let (id, reply) = client.ask_as(read("x")).await;
+    let (id, reply) = client.send_with_id(read("x")).await;
     assert!(reply.outcome.is_ok() || reason(&reply).is_some());
-    let forwarded_to = fleet.peers.processes_passed(&id);
+    let forwarded_to = fleet.peers.processes_reached(&id);
     // One may be skipped, since it already failed for a request of the process itself.
     assert!(forwarded_to.len() > 1, "{forwarded_to:?}");
     assert_eq!(
@@ -372,11 +372,11 @@
     let fleet = start_fleet(LARGE_FLEET, restrict_all_to(2, SOUTH)).await;
     let node = southern_uninvolved_node(&fleet);
     let mut client = fleet.session(node, BOUNDED_DATABASE);
-    assert_eq!(seen(&client.read("x").await).0, "c");
+    assert_eq!(read_row(&client.read("x").await).0, "c");
     apply_configuration(&fleet, restrict_all_to(3, NORTH)).await;
     let mut ids = Vec::new();
     for _ in 0..5 {
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         assert!(reply.outcome.is_ok(), "{reply:?}");
         ids.push((node, id));
     }
@@ -401,7 +401,7 @@
     apply_configuration(&fleet, restrict_all_to(3, SOUTH)).await;
     // The session value is not sent to the member on which the transaction is still open.
     client.set("region", "south").await;
-    let (id, reply) = client.ask_as(next).await;
+    let (id, reply) = client.send_with_id(next).await;
     assert_eq!(reason(&reply), Some(FailureReason::OutsideHomeRegions));
     assert!(fleet.world.servers_reached(&id).is_empty());
     if client.session.state() != TransactionState::Idle {
@@ -409,7 +409,7 @@
     }
     assert_eq!(client.session.state(), TransactionState::Idle);
     apply_configuration(&fleet, restrict_all_to(4, BOTH)).await;
-    let (_, commits) = seen(&client.read("x").await);
+    let (_, commits) = read_row(&client.read("x").await);
     assert_eq!(commits, 0, "the write was rolled back");
 }
 
@@ -449,7 +449,7 @@
     let node = 0;
     let open = use_all_connections(&fleet, node).await;
     let mut client = fleet.session(node, BOUNDED_DATABASE);
-    let waiting = tokio::spawn(async move { client.ask_as(read("x")).await });
+    let waiting = tokio::spawn(async move { client.send_with_id(read("x")).await });
     sleep(Duration::from_millis(40)).await;
     assert!(!waiting.is_finished());
     apply_configuration(&fleet, restrict_all_to(3, NORTH)).await;
@@ -477,7 +477,7 @@
     let mut ids = Vec::new();
     for node in 0..LARGE_FLEET {
         let mut client = fleet.session(node, BOUNDED_DATABASE);
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         assert!(reply.outcome.is_ok(), "{reply:?}");
         ids.push((node, id));
     }
@@ -492,7 +492,7 @@
     let mut ids = Vec::new();
     for node in southern_nodes(&fleet) {
         let mut client = fleet.session(node, BOUNDED_DATABASE);
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         assert!(reply.outcome.is_ok(), "{reply:?}");
         ids.push((node, id));
     }
@@ -512,7 +512,7 @@
     let mut client = fleet.session(node, BOUNDED_DATABASE);
     let mut ids = Vec::new();
     for _ in 0..10 {
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         assert!(reply.outcome.is_ok() || reason(&reply).is_some());
         ids.push((node, id));
     }
@@ -535,9 +535,9 @@
     for round in 0..60 {
         let server = NORTHERN[rng.random_range(0..NORTHERN.len())];
         match rng.random_range(0..4) {
-            0 => fleet.world.change(server, |s| s.dark = true),
-            1 => fleet.world.change(server, |s| s.busy = true),
-            2 => fleet.world.change(server, |s| s.slowness = 30),
+            0 => fleet.world.change(server, |s| s.unresponsive = true),
+            1 => fleet.world.change(server, |s| s.queue_full = true),
+            2 => fleet.world.change(server, |s| s.slowdown = 30),
             _ => {}
         }
         if kills && round % 20 == 10 {
@@ -554,15 +554,15 @@
             client.begin(rng.random_bool(0.5)).await;
         }
         for statement in [write("x 1"), read("x"), read("x"), Statement::Commit] {
-            let (id, reply) = client.ask_as(statement).await;
+            let (id, reply) = client.send_with_id(statement).await;
             served += usize::from(reply.outcome.is_ok());
             ids.push((node, id));
         }
         for server in NORTHERN {
             fleet.world.change(server, |s| {
-                s.dark = false;
-                s.busy = false;
-                s.slowness = 1;
+                s.unresponsive = false;
+                s.queue_full = false;
+                s.slowdown = 1;
             });
         }
     }
@@ -615,11 +615,11 @@
         for server in NORTHERN {
             fleet.world.change(server, |server| match fault {
                 MemberFault::None => {}
-                MemberFault::Silent => server.dark = true,
-                MemberFault::Busy => server.busy = true,
+                MemberFault::Silent => server.unresponsive = true,
+                MemberFault::Busy => server.queue_full = true,
             });
         }
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         let violations = residency_violations(&fleet, &[(node, id)]);
         assert_eq!(!violations.is_empty(), is_injected, "{fault:?}: {reply:?}");
     }
@@ -650,7 +650,7 @@
         let mut ids = Vec::new();
         for _ in 0..10 {
             let mut client = fleet.session(node, BOUNDED_DATABASE);
-            ids.push((node, client.ask_as(read("x")).await.0));
+            ids.push((node, client.send_with_id(read("x")).await.0));
         }
         assert_eq!(!residency_violations(&fleet, &ids).is_empty(), is_injected);
     }
--- a/crates/engine/tests/rosters.rs
+++ b/crates/engine/tests/rosters.rs
@@ -1,4 +1,4 @@
-//! The members of many groups, as the holder of the lease records them.
+//! Roster records of many groups, as written by the lease holder.
 
 mod support;
 
@@ -9,16 +9,16 @@
 use support::groups::{group_name, members_of_groups, with_groups};
 use tokio::time::sleep;
 
-/// Groups that are configured at once, of three servers each.
+/// Number of groups that are configured at the same time, with three servers each.
 const GROUPS: usize = 300;
-/// Records that one call writes at the least, for a fleet of groups: a tenth of the calls that
-/// single writes would take.
-const RECORDS_OF_A_CALL: usize = 10;
-/// Time in which all groups are recorded.
+/// Minimum average number of records per write call when many groups are recorded: at most a
+/// tenth of the calls that single writes would take.
+const MIN_RECORDS_PER_CALL: usize = 10;
+/// Time after which all groups must be recorded.
 const RECORDED_WITHIN: Duration = Duration::from_secs(5);
 
 async fn configure(fleet: &Fleet) {
-    *fleet.world.further.lock().unwrap() = members_of_groups(GROUPS).collect();
+    *fleet.world.other_members.lock().unwrap() = members_of_groups(GROUPS).collect();
     fleet.configuration.send_replace(with_groups(2, GROUPS));
     sleep(RECORDED_WITHIN).await;
 }
@@ -37,14 +37,17 @@
     configure(&fleet).await;
     assert_eq!(recorded(&fleet), GROUPS);
     let calls = fleet.records.roster_puts();
-    assert!(calls <= (GROUPS / RECORDS_OF_A_CALL) as u64, "{calls}");
+    assert!(calls <= (GROUPS / MIN_RECORDS_PER_CALL) as u64, "{calls}");
 }
 
-/// A record that another process has written keeps none of the others from being written.
+/// A record that another process has already written doesn't prevent the other records of the
+/// same call from being written.
 #[tokio::test(start_paused = true)]
-async fn a_conflict_about_one_group_leaves_the_others_recorded() {
+async fn conflict_on_one_group_does_not_block_the_others() {
     let fleet = Fleet::start(1).await;
-    fleet.records.put_unseen(&Roster::key(&group_name(7)));
+    fleet
+        .records
+        .put_without_notification(&Roster::key(&group_name(7)));
     configure(&fleet).await;
     assert_eq!(recorded(&fleet), GROUPS);
     let group = Arc::from(group_name(7));
--- a/crates/engine/tests/server_lives.rs
+++ b/crates/engine/tests/server_lives.rs
@@ -1,4 +1,4 @@
-//! Servers that start again under their names and hold nothing of before.
+//! Servers that restart under their names with an empty log.
 
 mod support;
 
@@ -11,21 +11,25 @@
 };
 use support::history::History;
 use support::servers::World;
-use support::{Fleet, GROUP, LEADER_DATABASE, seen, until};
+use support::{Fleet, GROUP, LEADER_DATABASE, read_row, until};
 use tokio::time::{Instant, sleep};
 
 #[rstest]
 #[case::with_a_start("s-1", Some(17), "s-1@17")]
 #[case::without("s-1", None, "s-1")]
-#[case::like_one_with_a_start("s-1@17", None, "s-1@17@")]
-#[case::like_one_and_with_a_start("s-1@17", Some(4), "s-1@17@4")]
-fn a_life_names_its_server(#[case] server: &str, #[case] born: Option<u64>, #[case] life: &str) {
-    assert_eq!(&*incarnation_id(server, born), life);
-    assert_eq!(server_name(life), server);
+#[case::name_that_looks_like_an_id_with_a_start("s-1@17", None, "s-1@17@")]
+#[case::name_that_looks_like_an_id_and_a_start("s-1@17", Some(4), "s-1@17@4")]
+fn incarnation_id_names_its_server(
+    #[case] server: &str,
+    #[case] started_at: Option<u64>,
+    #[case] incarnation: &str,
+) {
+    assert_eq!(&*incarnation_id(server, started_at), incarnation);
+    assert_eq!(server_name(incarnation), server);
 }
 
 #[test]
-fn only_other_lives_of_the_same_server_are_told_apart() {
+fn different_incarnations_of_the_same_server_are_recognized() {
     let id = |text: &str| MemberId::from(text);
     assert!(are_incarnations_of_same_server(&id("s@1"), &id("s@2")));
     assert!(are_incarnations_of_same_server(&id("s@2"), &id("s")));
@@ -33,17 +37,17 @@
     assert!(!are_incarnations_of_same_server(&id("s@1"), &id("t@2")));
 }
 
-fn known(world: &World) -> Directory {
+fn directory_of(world: &World) -> Directory {
     Directory::default().with_entries(1, world.entries(), Departure::at(Instant::now()))
 }
 
 #[test]
-fn a_life_ends_when_the_next_one_is_told() {
+fn incarnation_ends_when_the_next_one_registers() {
     let world = World::new(&["a", "b"]);
-    world.change("a", |server| server.born = Some(1));
-    let before = known(&world);
+    world.change("a", |server| server.started_at = Some(1));
+    let before = directory_of(&world);
     let first = before.member("a@1").expect("a member").clone();
-    world.start_anew("a");
+    world.start_empty("a");
     world.change("a", |server| server.role = Role::Primary);
     let members = world.entries().into_iter();
     let next = members.map(DirectoryChange::Present);
@@ -56,17 +60,20 @@
     assert!(!before.has_restarted(&first));
     assert!(after.has_restarted(&first));
     assert!(after.member("a@1").is_some_and(|member| member.is_gone()));
-    // It says that it leads, and is not taken for the leader that it was.
+    // The new incarnation claims to lead, but isn't identified with the leader that it was before.
     let acting = after.acting_member(GROUP, "a@1", Some(first.address));
     assert_eq!(acting.map(|member| &*member.id), Some("a@1"));
     assert_eq!(after.member("a@2").map(|m| m.role), Some(Role::Primary));
 }
 
-/// Commits of callers go on after the fault, and none before it is lost or read too late.
-async fn play(processes: usize, fault: impl AsyncFn(&Fleet)) {
+/// Injects a fault under load. Checks that commits continue after it, and that no acknowledged
+/// commit is lost and no read is too old.
+async fn run_with_fault(processes: usize, fault: impl AsyncFn(&Fleet)) {
     let fleet = Fleet::start(processes).await;
     for name in ["a", "b", "c"] {
-        fleet.world.change(name, |server| server.born = Some(1));
+        fleet
+            .world
+            .change(name, |server| server.started_at = Some(1));
     }
     sleep(Duration::from_millis(500)).await;
     let history = Arc::new(History::default());
@@ -80,29 +87,29 @@
     assert_eq!(history.violations(&fleet.world), Vec::<String>::new());
 }
 
-/// Crashes `server` and starts it again after `down`, with nothing of before.
-async fn start_anew(fleet: &Fleet, server: &str, down: Duration) {
+/// Crashes `server` and restarts it after `down` with an empty log.
+async fn start_empty(fleet: &Fleet, server: &str, down: Duration) {
     fleet.world.crash(server);
     sleep(down).await;
-    fleet.world.start_anew(server);
+    fleet.world.start_empty(server);
 }
 
 #[rstest]
-#[case::at_once(Duration::from_millis(10))]
+#[case::immediately(Duration::from_millis(10))]
 #[case::before_it_is_replaced(Duration::from_millis(300))]
 #[case::after_it_was_replaced(Duration::from_secs(3))]
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_starts_again_empty_loses_nothing(
+async fn leader_that_restarts_empty_loses_no_commits(
     #[case] down: Duration,
     #[values(3, 20)] processes: usize,
 ) {
-    play(processes, async |fleet| start_anew(fleet, "a", down).await).await;
+    run_with_fault(processes, async |fleet| start_empty(fleet, "a", down).await).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_starts_again_empty_is_not_promoted() {
-    play(3, async |fleet| {
-        start_anew(fleet, "b", Duration::from_millis(200)).await;
+async fn replica_that_restarts_empty_is_not_promoted() {
+    run_with_fault(3, async |fleet| {
+        start_empty(fleet, "b", Duration::from_millis(200)).await;
         fleet.world.crash("a");
         sleep(Duration::from_secs(3)).await;
         fleet.world.restart("a");
@@ -111,57 +118,61 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_server_that_starts_again_twice_is_its_last_life() {
-    play(3, async |fleet| {
-        start_anew(fleet, "a", Duration::from_millis(15)).await;
-        start_anew(fleet, "a", Duration::from_millis(15)).await;
+async fn server_that_restarts_twice_is_its_last_incarnation() {
+    run_with_fault(3, async |fleet| {
+        start_empty(fleet, "a", Duration::from_millis(15)).await;
+        start_empty(fleet, "a", Duration::from_millis(15)).await;
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_starts_again_behind_a_cut_is_replaced() {
-    play(3, async |fleet| {
+async fn leader_that_restarts_while_unreachable_is_replaced() {
+    run_with_fault(3, async |fleet| {
         for node in &fleet.nodes {
             fleet.network().cut(&node.name, "a");
         }
-        start_anew(fleet, "a", Duration::from_secs(1)).await;
+        start_empty(fleet, "a", Duration::from_secs(1)).await;
         sleep(Duration::from_secs(2)).await;
         fleet.network().heal();
     })
     .await;
 }
 
-/// Its entry has not told yet that it has started again.
+/// The directory entry of the leader doesn't show its restart yet.
 #[tokio::test(start_paused = true)]
-async fn no_transaction_reads_from_a_leader_that_has_started_again() {
+async fn transaction_does_not_read_from_a_leader_that_restarted_empty() {
     let fleet = Fleet::start(1).await;
     for name in ["a", "b", "c"] {
-        fleet.world.change(name, |server| server.born = Some(1));
+        fleet
+            .world
+            .change(name, |server| server.started_at = Some(1));
     }
     sleep(Duration::from_millis(500)).await;
     let mut client = fleet.session(0, LEADER_DATABASE);
     client
         .write_until_acknowledged(Duration::from_secs(5))
         .await;
-    fleet.world.start_anew("a");
+    fleet.world.start_empty("a");
     client.begin(true).await;
     let reply = client.read("x").await;
-    let is_whole = reply.outcome.is_err() || seen(&reply).1 > 0;
-    assert!(is_whole, "{:?}", seen(&reply));
+    let is_whole = reply.outcome.is_err() || read_row(&reply).1 > 0;
+    assert!(is_whole, "{:?}", read_row(&reply));
 }
 
-/// Whoever connects to a life that has ended would reach the next one.
+/// A connection to an ended incarnation would reach the next one.
 #[tokio::test(start_paused = true)]
-async fn no_connection_is_opened_to_a_life_that_has_ended() {
+async fn no_connection_is_opened_to_an_ended_incarnation() {
     let fleet = Fleet::start(1).await;
-    fleet.world.change("b", |server| server.born = Some(1));
+    fleet
+        .world
+        .change("b", |server| server.started_at = Some(1));
     let engine = &fleet.nodes[0].engine;
     until(|| engine.directory().member("b@1").is_some()).await;
-    let life = Arc::clone(engine.directory().member("b@1").expect("a member"));
-    let pool = engine.pool(&life);
-    fleet.world.start_anew("b");
-    until(|| engine.directory().has_restarted(&life)).await;
+    let incarnation = Arc::clone(engine.directory().member("b@1").expect("a member"));
+    let pool = engine.pool(&incarnation);
+    fleet.world.start_empty("b");
+    until(|| engine.directory().has_restarted(&incarnation)).await;
     let order = pool.control(stilequay_engine::ports::Control::Status).await;
     assert!(order.is_err(), "{order:?}");
     assert!(matches!(
--- a/crates/engine/tests/simulation.rs
+++ b/crates/engine/tests/simulation.rs
@@ -1,5 +1,4 @@
-//! Processes and servers under random faults, and planted mistakes that the same checks
-//! must find.
+//! Processes and servers under random faults, and injected bugs that the same checks must detect.
 
 mod support;
 
@@ -16,19 +15,19 @@
 use tokio::time::{Instant, sleep};
 
 const SERVERS: [&str; 3] = ["a", "b", "c"];
-/// Faults in one run.
+/// Number of faults in one run.
 const FAULTS: usize = 10;
-/// Time after the last fault in which everything recovers.
+/// Time after the last fault within which everything must recover.
 const RECOVERY: Duration = Duration::from_secs(12);
 
-/// How long a moment is waited for at which two servers hold the same.
-const COPY_PATIENCE: Duration = Duration::from_millis(500);
+/// Maximum wait until another server has received as much as the one to be restarted.
+const MAX_REPLICATION_WAIT: Duration = Duration::from_millis(500);
 
-/// Processes of a fleet in which homes hold the connections.
+/// Number of processes of a fleet in which homes hold the connections.
 const LARGE: usize = 20;
 
-/// Brings one fault about, for a while.
-async fn strike(fleet: &Fleet, rng: &mut StdRng) {
+/// Injects one random fault for a random time.
+async fn inject_fault(fleet: &Fleet, rng: &mut StdRng) {
     let server = SERVERS[rng.random_range(0..SERVERS.len())];
     let other = SERVERS[rng.random_range(0..SERVERS.len())];
     let node = fleet.nodes[rng.random_range(0..fleet.nodes.len())]
@@ -49,9 +48,9 @@
             world.restart(&leader);
         }
         2 => {
-            world.change(server, |s| s.dark = true);
+            world.change(server, |s| s.unresponsive = true);
             sleep(lasts).await;
-            world.change(server, |s| s.dark = false);
+            world.change(server, |s| s.unresponsive = false);
         }
         3 => {
             fleet.network().cut(&node, server);
@@ -70,9 +69,9 @@
             sleep(lasts).await;
         }
         6 => {
-            world.change(server, |s| s.deaf = true);
+            world.change(server, |s| s.not_receiving = true);
             sleep(lasts).await;
-            world.change(server, |s| s.deaf = false);
+            world.change(server, |s| s.not_receiving = false);
         }
         7 => {
             let faults = [Fault::Refusing, Fault::Silent, Fault::LosingAnswers];
@@ -95,10 +94,10 @@
         10 => {
             world.change(server, |s| {
                 s.apply_lag = Duration::from_millis(rng.random_range(0..2_000));
-                s.slowness = rng.random_range(1..20);
+                s.slowdown = rng.random_range(1..20);
             });
             sleep(lasts).await;
-            world.change(server, |s| s.slowness = 1);
+            world.change(server, |s| s.slowdown = 1);
         }
         11 => {
             let other = rng.random_range(0..fleet.nodes.len());
@@ -117,54 +116,54 @@
     fleet.network().heal();
 }
 
-/// Starts a server again with nothing, at a moment at which another holds what it does; without
-/// one the commits would be lost whatever is done.
-async fn start_anew(fleet: &Fleet, server: &str) {
+/// Restarts a server with an empty log once another server has received as much. Without such a
+/// server, commits would be lost whatever the processes do, so the fault is skipped.
+async fn start_empty(fleet: &Fleet, server: &str) {
     let held = |name: &str| fleet.world.server(name).position();
-    let until = Instant::now() + COPY_PATIENCE;
+    let until = Instant::now() + MAX_REPLICATION_WAIT;
     while Instant::now() < until {
         let mut others = SERVERS.iter().filter(|other| **other != server);
         if others.any(|other| held(other) >= held(server)) {
-            fleet.world.start_anew(server);
+            fleet.world.start_empty(server);
             return;
         }
         sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// A server starts again with nothing, the store comes back from a copy that is older than a
-/// fault, or one of the faults of [`strike`].
-async fn strike_memory(fleet: &Fleet, rng: &mut StdRng) {
+/// Restarts a server with an empty log, restores the store from a backup that predates a fault,
+/// or injects one of the faults of [`inject_fault`].
+async fn inject_fault_or_data_loss(fleet: &Fleet, rng: &mut StdRng) {
     match rng.random_range(0..3) {
-        0 => start_anew(fleet, SERVERS[rng.random_range(0..SERVERS.len())]).await,
+        0 => start_empty(fleet, SERVERS[rng.random_range(0..SERVERS.len())]).await,
         1 => {
-            let copy = fleet.records.copy();
-            strike(fleet, rng).await;
+            let backup = fleet.records.back_up();
+            inject_fault(fleet, rng).await;
             fleet.records.set_fault(Fault::Silent);
             sleep(Duration::from_millis(rng.random_range(50..400))).await;
-            fleet.records.restore(copy);
+            fleet.records.restore(backup);
             fleet.records.set_fault(Fault::None);
         }
-        _ => strike(fleet, rng).await,
+        _ => inject_fault(fleet, rng).await,
     }
 }
 
 async fn run(seed: u64, processes: usize) -> (Vec<String>, (usize, usize)) {
     let fleet = Fleet::start(processes).await;
-    play(seed, fleet, strike).await
+    run_with_faults(seed, fleet, inject_fault).await
 }
 
-async fn play(
+async fn run_with_faults(
     seed: u64,
     fleet: Fleet,
-    strike: impl AsyncFn(&Fleet, &mut StdRng),
+    inject_fault: impl AsyncFn(&Fleet, &mut StdRng),
 ) -> (Vec<String>, (usize, usize)) {
     let mut rng = StdRng::seed_from_u64(seed);
     let history = Arc::new(History::default());
     fleet.spawn_callers(&history);
     for _ in 0..FAULTS {
         sleep(Duration::from_millis(rng.random_range(50..800))).await;
-        strike(&fleet, &mut rng).await;
+        inject_fault(&fleet, &mut rng).await;
     }
     let before = history.counts().0;
     sleep(RECOVERY).await;
@@ -173,24 +172,24 @@
         "seed {seed}: no write after the faults"
     );
     let mut violations = history.violations(&fleet.world);
-    violations.extend(fallen_numbers(&fleet));
+    violations.extend(decreasing_fencing_numbers(&fleet));
     (violations, history.counts())
 }
 
-/// Orders whose number is lower than that of an order before.
-fn fallen_numbers(fleet: &Fleet) -> Vec<String> {
+/// Promotion orders with a lower fencing number than the order before.
+fn decreasing_fencing_numbers(fleet: &Fleet) -> Vec<String> {
     let orders = fleet.world.promotions();
-    let fallen = orders
+    let decreasing = orders
         .windows(2)
         .filter(|pair| pair[1].fencing < pair[0].fencing);
-    fallen
-        .map(|pair| format!("an order of {:?} after one of {:?}", pair[1], pair[0]))
+    decreasing
+        .map(|pair| format!("order {:?} after the newer {:?}", pair[1], pair[0]))
         .collect()
 }
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn no_promise_is_broken_under_random_faults(
+async fn no_guarantee_is_violated_under_random_faults(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20)] seed: u64,
 ) {
     let (violations, (commits, reads)) = run(seed, 3).await;
@@ -203,7 +202,7 @@
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn no_promise_is_broken_in_a_large_fleet(#[values(1, 2, 3, 4)] seed: u64) {
+async fn no_guarantee_is_violated_in_a_large_fleet(#[values(1, 2, 3, 4)] seed: u64) {
     let (violations, (commits, reads)) = run(seed, LARGE).await;
     assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
     assert!(
@@ -214,14 +213,15 @@
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn no_promise_is_broken_where_store_and_servers_forget(
+async fn no_guarantee_is_violated_when_store_and_servers_lose_data(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 16, 58, 106, 114, 150)] seed: u64,
 ) {
     let fleet = Fleet::start(3).await;
     for server in SERVERS {
-        fleet.world.change(server, |s| s.born = Some(1));
+        fleet.world.change(server, |s| s.started_at = Some(1));
     }
-    let (violations, (commits, reads)) = play(seed, fleet, strike_memory).await;
+    let (violations, (commits, reads)) =
+        run_with_faults(seed, fleet, inject_fault_or_data_loss).await;
     assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
     assert!(
         commits > 100 && reads > 100,
@@ -229,9 +229,9 @@
     );
 }
 
-/// A link that delivers commands twice, as one would that repeats what was not answered.
+/// Links deliver commands twice, as a link with faulty retransmission would.
 #[tokio::test(start_paused = true)]
-async fn a_forwarded_write_that_is_repeated_is_found() {
+async fn repeated_forwarded_write_is_detected() {
     let fleet = Fleet::start(LARGE).await;
     let history = Arc::new(History::default());
     fleet.peers.repeats_frames.store(true, Ordering::Relaxed);
@@ -244,24 +244,26 @@
     );
 }
 
-/// Evidence that a keeper tells the whole fleet, from a store that shows it the past.
+/// Processes that read a stale store spread outdated evidence to the whole fleet.
 #[tokio::test(start_paused = true)]
-async fn evidence_of_a_keeper_that_is_shown_the_past_is_found() {
+async fn stale_evidence_in_a_large_fleet_is_detected() {
     let fleet = Fleet::start(LARGE).await;
     let history = Arc::new(History::default());
     fleet.spawn_callers(&history);
-    // A caller whose write waits for the old leader reads nothing meanwhile.
+    // Callers whose writes wait for the old leader don't read in the meantime, so others must.
     fleet.spawn_readers(&history);
     sleep(Duration::from_secs(2)).await;
     let holder = fleet.lease().holder;
-    // All but the holder believe the store of a moment ago, and stay with the old leader.
+    // All processes but the holder see an old state of the store and stay with the old leader.
     let names = fleet.nodes.iter().map(|node| &node.name);
     let others = names.filter(|name| **name != holder.as_str());
-    others.for_each(|name| fleet.records.show_past_to(name));
-    // Nor do they learn of the change from the holder, which may be one that others ask.
-    fleet.peers.lose_knowledge_of(holder.as_str());
+    others.for_each(|name| fleet.records.serve_stale_data_to(name));
+    // They don't learn of the change from the holder either, which may be a relay.
+    fleet.peers.drop_updates_from(holder.as_str());
     fleet.network().cut(holder.as_str(), "a");
-    fleet.world.change("a", |server| server.deaf = true);
+    fleet
+        .world
+        .change("a", |server| server.not_receiving = true);
     ["b", "c"]
         .iter()
         .for_each(|replica| fleet.network().cut("a", replica));
@@ -274,44 +276,45 @@
     );
 }
 
-/// Cuts all processes from the leader but one, which does not hold the lease; returns it.
+/// Cuts all processes but one off from the leader. The exception doesn't hold the lease; returns
+/// its name.
 fn cut_all_but_one(fleet: &Fleet) -> String {
     let holder = fleet.lease().holder;
     let names = || fleet.nodes.iter().map(|node| node.name.clone());
-    let keeper = names().find(|name| name != holder.as_str());
-    let keeper = keeper.expect("a process without the lease");
-    let others = names().filter(|name| *name != keeper);
+    let connected_node = names().find(|name| name != holder.as_str());
+    let connected_node = connected_node.expect("a process without the lease");
+    let others = names().filter(|name| *name != connected_node);
     others.for_each(|name| fleet.network().cut(&name, "a"));
-    keeper
+    connected_node
 }
 
-/// One process keeps the old leader and loses the store; the others promote another.
-async fn split(fleet: &Fleet, history: &Arc<History>) {
+/// One process still reaches the old leader but not the store; the others promote another leader.
+async fn partition_from_the_old_leader(fleet: &Fleet, history: &Arc<History>) {
     fleet.spawn_callers(history);
     sleep(Duration::from_secs(2)).await;
-    let keeper = cut_all_but_one(fleet);
-    fleet.records.refuse_node(&keeper, true);
-    // Nor does it learn of the change from the others.
-    fleet.peers.set_away(true);
+    let connected_node = cut_all_but_one(fleet);
+    fleet.records.refuse_node(&connected_node, true);
+    // It doesn't learn of the change from other processes either.
+    fleet.peers.set_isolated(true);
     until(|| !fleet.world.promotions().is_empty()).await;
     sleep(Duration::from_secs(2)).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_split_breaks_no_promise() {
+async fn partition_violates_no_guarantee() {
     let fleet = Fleet::start(3).await;
     let history = Arc::new(History::default());
-    split(&fleet, &history).await;
+    partition_from_the_old_leader(&fleet, &history).await;
     assert_eq!(history.violations(&fleet.world), Vec::<String>::new());
 }
 
 #[tokio::test(start_paused = true)]
-async fn replicas_that_are_not_really_paused_are_found() {
+async fn replica_that_ignores_its_pause_is_detected() {
     let fleet = Fleet::start(3).await;
-    // Of two that have received as much, `c` is chosen; `b` goes on receiving.
+    // Both replicas have received the same, so `c` is chosen; `b` continues to receive.
     fleet.world.change("b", |s| s.ignores_pause = true);
     let history = Arc::new(History::default());
-    split(&fleet, &history).await;
+    partition_from_the_old_leader(&fleet, &history).await;
     let violations = history.violations(&fleet.world);
     assert!(
         violations.iter().any(|v| v.starts_with("lost")),
@@ -319,21 +322,22 @@
     );
 }
 
-/// The replica that holds the commits is not known: its entry was never taken, or is forgotten.
+/// The replica that holds the commits is unknown because its entry was never read or was
+/// forgotten.
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_nobody_knows_is_waited_for() {
+async fn unknown_replica_blocks_promotions() {
     let fleet = Fleet::start(3).await;
     let history = Arc::new(History::default());
-    fleet.world.change("b", |s| s.deaf = true);
+    fleet.world.change("b", |s| s.not_receiving = true);
     fleet.spawn_callers(&history);
     sleep(Duration::from_secs(2)).await;
-    fleet.world.hidden.lock().unwrap().insert("c".to_owned());
-    // The entry is forgotten, as one that went away long ago is.
+    fleet.world.unlisted.lock().unwrap().insert("c".to_owned());
+    // Wait until the entry is forgotten, like any that disappeared long ago.
     sleep(GONE_RETENTION + Duration::from_secs(10)).await;
     fleet.world.crash("a");
     sleep(Duration::from_secs(10)).await;
     assert!(fleet.world.promotions().is_empty());
-    fleet.world.hidden.lock().unwrap().clear();
+    fleet.world.unlisted.lock().unwrap().clear();
     until(|| !fleet.world.promotions().is_empty()).await;
     sleep(Duration::from_secs(2)).await;
     assert_eq!(&*fleet.world.promotions()[0].target, "c");
@@ -341,13 +345,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn evidence_from_a_store_that_shows_the_past_is_found() {
+async fn evidence_from_a_stale_store_is_detected() {
     let fleet = Fleet::start(3).await;
     let history = Arc::new(History::default());
     fleet.spawn_callers(&history);
     sleep(Duration::from_secs(2)).await;
-    let keeper = cut_all_but_one(&fleet);
-    fleet.records.show_past_to(&keeper);
+    let connected_node = cut_all_but_one(&fleet);
+    fleet.records.serve_stale_data_to(&connected_node);
     until(|| !fleet.world.promotions().is_empty()).await;
     sleep(Duration::from_secs(4)).await;
     let violations = history.violations(&fleet.world);
@@ -357,27 +361,27 @@
     );
 }
 
-/// A holder that does not notice the loss of its lease.
+/// The holder doesn't notice that it has lost its lease.
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_does_not_check_its_lease_is_found() {
+async fn holder_that_ignores_the_loss_of_its_lease_is_detected() {
     let fleet = Fleet::start(3).await;
     let history = Arc::new(History::default());
     fleet.spawn_callers(&history);
     let holder = fleet.lease().holder;
-    fleet.records.pretend_renewals_to(holder.as_str());
-    // Another process takes the lease that is not renewed.
+    fleet.records.fake_renewals_for(holder.as_str());
+    // Another process takes the lease, which isn't really renewed.
     sleep(Duration::from_secs(4)).await;
-    let mut fallen = Vec::new();
+    let mut decreasing = Vec::new();
     for _ in 0..12 {
         let leader = fleet.world.leader();
         fleet.world.crash(&leader);
         sleep(Duration::from_secs(4)).await;
         fleet.world.restart(&leader);
         sleep(Duration::from_secs(2)).await;
-        fallen = fallen_numbers(&fleet);
-        if !fallen.is_empty() {
+        decreasing = decreasing_fencing_numbers(&fleet);
+        if !decreasing.is_empty() {
             break;
         }
     }
-    assert!(!fallen.is_empty());
+    assert!(!decreasing.is_empty());
 }
--- a/crates/engine/tests/support/peers.rs
+++ b/crates/engine/tests/support/peers.rs
@@ -1,4 +1,4 @@
-//! Processes that reach one another in memory.
+//! In-memory network between processes.
 
 use super::servers::World;
 use async_trait::async_trait;
@@ -20,44 +20,44 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Time for a question or an answer.
-const ONE_WAY: Duration = Duration::from_millis(1);
+/// Latency of a request or a reply.
+const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
 
-/// When a frame comes again on a link that repeats them.
-const REPEATED_AFTER: Duration = Duration::from_millis(60);
-/// Frames of a link that wait on one side.
+/// Delay after which a repeated frame is delivered again.
+const REPEAT_DELAY: Duration = Duration::from_millis(60);
+/// Capacity of the queue at each end of a link, in frames.
 const LINK_QUEUE: usize = 2_048;
 
-/// All processes, by address.
+/// The network of all processes.
 #[derive(Debug)]
 pub struct MemoryPeers {
     world: Arc<World>,
     engines: Mutex<HashMap<SocketAddr, Weak<Engine>>>,
-    away: Mutex<bool>,
+    isolated: Mutex<bool>,
     killed: watch::Sender<HashSet<String>>,
-    /// What these know reaches nobody over links.
-    secretive: Mutex<HashSet<String>>,
-    /// Bytes a second that one process sends over all its links; any number where it is zero.
+    /// Processes whose updates are dropped on all links.
+    update_blackholes: Mutex<HashSet<String>>,
+    /// Bytes per second that one process can send over all its links; zero means no limit.
     pub send_rate: AtomicU64,
-    /// Until when what each process has sent is on its way.
+    /// When each process will have finished sending its queued frames.
     sending_until: Mutex<HashMap<String, Instant>>,
-    /// Links of an earlier generation carry nothing any more, and don't end.
+    /// Links of an earlier generation drop all frames but stay open.
     generation: AtomicU64,
-    /// Keeps what links carry, for [`MemoryPeers::processes_passed`].
-    pub keeps_frames: AtomicBool,
-    /// To which process which frame was sent.
+    /// Whether frames are recorded for [`MemoryPeers::processes_reached`].
+    pub records_frames: AtomicBool,
+    /// The recorded frames, each with the process that it was sent to.
     frames: Mutex<Vec<(String, Bytes)>>,
-    /// Frames tell a home of another tenant than the one that asks: a planted mistake.
-    pub swaps_tenants: AtomicBool,
-    /// Delivers each frame of a link once more a moment later: a planted mistake.
+    /// Injected bug: frames name another tenant than the one that sent the request.
+    pub swaps_tenant_names: AtomicBool,
+    /// Injected bug: each frame of a link is delivered a second time a little later.
     pub repeats_frames: AtomicBool,
-    /// Questions for news that were sent.
-    pub news_asked: AtomicU64,
-    /// Answers to these that have arrived.
-    pub news_told: AtomicU64,
+    /// Number of update requests sent.
+    pub update_requests: AtomicU64,
+    /// Number of replies to them that have arrived.
+    pub update_replies: AtomicU64,
 }
 
-/// The other processes as one of them reaches them.
+/// The network as seen by one process.
 #[derive(Debug)]
 pub struct NodePeers {
     peers: Arc<MemoryPeers>,
@@ -69,18 +69,18 @@
         Arc::new(Self {
             world: Arc::clone(world),
             engines: Mutex::default(),
-            away: Mutex::default(),
+            isolated: Mutex::default(),
             killed: watch::Sender::new(HashSet::new()),
-            secretive: Mutex::default(),
+            update_blackholes: Mutex::default(),
             send_rate: AtomicU64::default(),
             sending_until: Mutex::default(),
             generation: AtomicU64::default(),
-            keeps_frames: AtomicBool::default(),
+            records_frames: AtomicBool::default(),
             frames: Mutex::default(),
-            swaps_tenants: AtomicBool::default(),
+            swaps_tenant_names: AtomicBool::default(),
             repeats_frames: AtomicBool::default(),
-            news_asked: AtomicU64::default(),
-            news_told: AtomicU64::default(),
+            update_requests: AtomicU64::default(),
+            update_replies: AtomicU64::default(),
         })
     }
 
@@ -91,18 +91,21 @@
         })
     }
 
-    /// Lets all links go silent for good; new ones work.
+    /// Makes all open links drop every frame permanently. New links work.
     pub fn silence_links(&self) {
         self.generation.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Loses whatever one process tells the others of what it knows; it still runs commands.
-    pub fn lose_knowledge_of(&self, node: &str) {
-        self.secretive.lock().unwrap().insert(node.to_owned());
+    /// Drops all updates about the store that one process sends to others. It still runs commands.
+    pub fn drop_updates_from(&self, node: &str) {
+        self.update_blackholes
+            .lock()
+            .unwrap()
+            .insert(node.to_owned());
     }
 
-    /// The processes to which a frame was sent that names the request `id`.
-    pub fn processes_passed(&self, id: &str) -> BTreeSet<String> {
+    /// The processes that were sent a frame which contains the request id `id`.
+    pub fn processes_reached(&self, id: &str) -> BTreeSet<String> {
         let frames = self.frames.lock().unwrap();
         let naming = frames.iter().filter(|(_, frame)| {
             let mut parts = frame.windows(id.len());
@@ -111,7 +114,7 @@
         naming.map(|(to, _)| to.clone()).collect()
     }
 
-    /// Ends all links of a process; it answers nobody any more.
+    /// Closes all links of a process and makes it unreachable.
     pub fn kill(&self, node: &str) {
         let address = Self::address_of(node);
         self.engines.lock().unwrap().remove(&address);
@@ -120,16 +123,17 @@
         });
     }
 
-    /// A process that was killed is going to start anew.
+    /// Makes a process that was killed reachable again, before it restarts.
     pub fn revive(&self, node: &str) {
         self.killed.send_modify(|killed| {
             killed.remove(node);
         });
     }
 
-    /// Passes frames on from one process to another, after a moment, while both live and
-    /// the way between them is open; a process that stands still neither sends nor reads.
-    async fn carry(
+    /// Forwards frames from one process to another with some latency, until one of the two is
+    /// killed. Drops frames while the network between them is cut. A frozen process neither sends
+    /// nor receives.
+    async fn forward_frames(
         self: Arc<Self>,
         (from, to): (String, String),
         mut rx: mpsc::Receiver<Bytes>,
@@ -143,43 +147,44 @@
                 _ = killed.wait_for(|k| k.contains(&from) || k.contains(&to)) => return,
             };
             let Some(mut frame) = frame else { return };
-            if self.keeps_frames.load(Ordering::Relaxed) {
+            if self.records_frames.load(Ordering::Relaxed) {
                 let sent = (to.clone(), frame.clone());
                 self.frames.lock().unwrap().push(sent);
             }
-            if self.swaps_tenants.load(Ordering::Relaxed) {
-                frame = with_names_swapped(&frame);
+            if self.swaps_tenant_names.load(Ordering::Relaxed) {
+                frame = with_tenants_swapped(&frame);
             }
             let is_question = matches!(decode(&frame), Some(ToHome::Follow { .. }));
             let is_answer = matches!(decode(&frame), Some(FromHome::News { .. }));
-            self.news_asked
+            self.update_requests
                 .fetch_add(u64::from(is_question), Ordering::Relaxed);
             sleep_until(self.sent_at(&from, frame.len())).await;
-            sleep(ONE_WAY).await;
-            self.world.freezer.pass(&from).await;
-            self.world.freezer.pass(&to).await;
-            // What a cut holds up is lost.
-            let away = *self.away.lock().unwrap();
+            sleep(ONE_WAY_DELAY).await;
+            self.world.freezer.wait_until_resumed(&from).await;
+            self.world.freezer.wait_until_resumed(&to).await;
+            // Frames that arrive during a cut are lost.
+            let isolated = *self.isolated.lock().unwrap();
             let is_silent = generation != self.generation.load(Ordering::Relaxed);
-            let is_kept_back = tells(&frame) && self.secretive.lock().unwrap().contains(&from);
-            let is_open = !away && self.world.network.reaches(&from, &to);
-            let arrives = is_open && !is_silent && !is_kept_back;
-            let told = u64::from(arrives && is_answer);
-            self.news_told.fetch_add(told, Ordering::Relaxed);
+            let is_withheld = carries_store_updates(&frame)
+                && self.update_blackholes.lock().unwrap().contains(&from);
+            let is_open = !isolated && self.world.network.reaches(&from, &to);
+            let arrives = is_open && !is_silent && !is_withheld;
+            let replies = u64::from(arrives && is_answer);
+            self.update_replies.fetch_add(replies, Ordering::Relaxed);
             if arrives && tx.send(frame.clone()).await.is_err() {
                 return;
             }
             if self.repeats_frames.load(Ordering::Relaxed) {
                 let tx = tx.clone();
                 tokio::spawn(async move {
-                    sleep(REPEATED_AFTER).await;
+                    sleep(REPEAT_DELAY).await;
                     let _ = tx.send(frame).await;
                 });
             }
         }
     }
 
-    /// When `len` bytes that the process `from` sends now have left it.
+    /// When process `from` will have finished sending `len` bytes that it queues now.
     fn sent_at(&self, from: &str, len: usize) -> Instant {
         let now = Instant::now();
         let rate = self.send_rate.load(Ordering::Relaxed);
@@ -210,17 +215,17 @@
     }
 
     async fn reach(&self, peer: SocketAddr) -> Result<Arc<Engine>, PeerError> {
-        sleep(ONE_WAY).await;
+        sleep(ONE_WAY_DELAY).await;
         let engines = self.engines.lock().unwrap();
         let engine = engines.get(&peer).and_then(Weak::upgrade);
-        let away = *self.away.lock().unwrap();
-        let engine = engine.filter(|_| !away);
-        engine.ok_or_else(|| PeerError::Unreachable("away".to_owned()))
+        let isolated = *self.isolated.lock().unwrap();
+        let engine = engine.filter(|_| !isolated);
+        engine.ok_or_else(|| PeerError::Unreachable("isolated".to_owned()))
     }
 
-    /// Lets no process reach another.
-    pub fn set_away(&self, away: bool) {
-        *self.away.lock().unwrap() = away;
+    /// Isolates all processes from one another, or reconnects them.
+    pub fn set_isolated(&self, isolated: bool) {
+        *self.isolated.lock().unwrap() = isolated;
     }
 }
 
@@ -233,7 +238,7 @@
     ) -> Result<Vec<GroupSnapshot>, PeerError> {
         let engine = self.peers.reach(peer).await?;
         let answer = group_snapshots(&engine, groups);
-        sleep(ONE_WAY).await;
+        sleep(ONE_WAY_DELAY).await;
         Ok(answer)
     }
 
@@ -244,7 +249,7 @@
     ) -> Result<DeclaredState, PeerError> {
         let engine = self.peers.reach(peer).await?;
         let answer = newer(&engine, known, tokio::time::Instant::now());
-        sleep(ONE_WAY).await;
+        sleep(ONE_WAY_DELAY).await;
         Ok(answer)
     }
 
@@ -260,8 +265,8 @@
         let (peer_tx, from_peer) = mpsc::channel(LINK_QUEUE);
         let out = (self.node.clone(), there.clone());
         let back = (there, self.node.clone());
-        tokio::spawn(Arc::clone(&self.peers).carry(out, from_here, to_peer));
-        tokio::spawn(Arc::clone(&self.peers).carry(back, from_peer, to_here));
+        tokio::spawn(Arc::clone(&self.peers).forward_frames(out, from_here, to_peer));
+        tokio::spawn(Arc::clone(&self.peers).forward_frames(back, from_peer, to_here));
         let link = PeerLink {
             tx: peer_tx,
             rx: peer_rx,
@@ -274,8 +279,8 @@
     }
 }
 
-/// Whether a frame tells what its sender knows of the store.
-fn tells(frame: &Bytes) -> bool {
+/// Whether a frame carries the sender's knowledge of the store.
+fn carries_store_updates(frame: &Bytes) -> bool {
     let is_answer = matches!(
         decode(frame),
         Some(FromHome::News { .. } | FromHome::Beliefs { .. })
@@ -283,19 +288,18 @@
     is_answer || matches!(decode(frame), Some(ToHome::PromotionLease(_)))
 }
 
-/// The frame with the tenants "one" and "two" in each other's place, as texts of three bytes
-/// are encoded.
-fn with_names_swapped(frame: &Bytes) -> Bytes {
+/// Swaps the tenant names "one" and "two" in a frame, in the encoding of strings of three bytes.
+fn with_tenants_swapped(frame: &Bytes) -> Bytes {
     let (one, two) = (b"\xa3one", b"\xa3two");
     let mut swapped = frame.to_vec();
-    for place in 0..frame.len().saturating_sub(one.len() - 1) {
-        let part = &frame[place..place + one.len()];
+    for offset in 0..frame.len().saturating_sub(one.len() - 1) {
+        let part = &frame[offset..offset + one.len()];
         let other = match part {
             part if part == one => two,
             part if part == two => one,
             _ => continue,
         };
-        swapped[place..place + one.len()].copy_from_slice(other);
+        swapped[offset..offset + one.len()].copy_from_slice(other);
     }
     swapped.into()
 }
--- a/crates/engine/tests/support/servers/connection.rs
+++ b/crates/engine/tests/support/servers/connection.rs
@@ -1,6 +1,6 @@
-//! Connections of processes to servers.
+//! Connections of processes to the simulated servers.
 
-use super::{Glimpse, ROUND_TRIP, ReadLog, World};
+use super::{ROUND_TRIP, ReadLog, ServerSnapshot, World};
 use async_trait::async_trait;
 use bytes::Bytes;
 use std::collections::{BTreeMap, HashMap};
@@ -19,15 +19,15 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, sleep};
 
-/// Time that a statement runs.
-const WORK: Duration = Duration::from_millis(4);
-/// Entries of a read's log that are remembered: more than a leader can lose.
-const TAIL: usize = 40;
+/// Execution time of a statement on a server that isn't slowed down.
+const STATEMENT_TIME: Duration = Duration::from_millis(4);
+/// Number of trailing log entries recorded for a read: more than a leader can lose.
+const READ_TAIL_LEN: usize = 40;
 
-/// A place at a server while a statement runs, where places are limited.
-type Place = Option<OwnedSemaphorePermit>;
+/// Permit for running a statement; `None` if the server has no limit.
+type SlotPermit = Option<OwnedSemaphorePermit>;
 
-/// Connects one process.
+/// Connects one process to the servers.
 #[derive(Debug)]
 pub struct WorldBackEnd {
     pub world: Arc<World>,
@@ -42,21 +42,22 @@
         tenant: Option<&TenantName>,
     ) -> Result<Box<dyn BackEndConnection>, ConnectError> {
         sleep(ROUND_TRIP).await;
-        // Servers are called by their names only: the next life answers for the one before.
+        // Only the server's name matters for reaching it, so a connection to an earlier incarnation
+        // reaches the current one.
         let name = server_name(&member.id);
-        let server = self.world.glimpse(name);
-        if server.dark || !self.world.network.reaches(&self.node, name) {
+        let server = self.world.snapshot(name);
+        if server.unresponsive || !self.world.network.reaches(&self.node, name) {
             pending::<()>().await;
         }
         if !server.running {
             return Err(ConnectError::Refused("connection refused".to_owned()));
         }
-        let accepts = self.world.lock()[name].accepts;
+        let max_connections = self.world.lock()[name].max_connections;
         let open = self.world.open_connections(name);
-        if server.full || accepts.is_some_and(|most| open >= most) {
+        if server.connections_exhausted || max_connections.is_some_and(|most| open >= most) {
             return Err(ConnectError::TooManyConnections);
         }
-        if enter(&self.world, name).await.is_none() {
+        if acquire_slot(&self.world, name).await.is_none() {
             return Err(ConnectError::Busy);
         }
         let mut connections = self.world.connections.lock().unwrap();
@@ -66,7 +67,7 @@
             world: Arc::clone(&self.world),
             node: self.node.clone(),
             server: name.to_owned(),
-            life: server.born,
+            incarnation: server.started_at,
             tenant: tenant.cloned(),
             generation: self.world.generation.load(Ordering::Relaxed),
             transaction: None,
@@ -76,7 +77,7 @@
     }
 }
 
-/// The caller's request, where `command` is a statement of one.
+/// The id of the caller's request, if `command` runs or commits one.
 fn statement_id(command: &Command) -> Option<&str> {
     match command {
         Command::Run { id, .. } | Command::Execute { id, .. } | Command::Commit { id } => Some(id),
@@ -95,7 +96,7 @@
     world: Arc<World>,
     node: String,
     server: String,
-    life: Option<u64>,
+    incarnation: Option<u64>,
     tenant: Option<TenantName>,
     generation: u64,
     transaction: Option<WorldTransaction>,
@@ -113,14 +114,15 @@
 }
 
 impl WorldConnection {
-    /// The server as it answers; never resolves where it says nothing.
-    async fn reach(&self) -> Result<Glimpse, BackEndConnectionError> {
-        let server = self.world.glimpse(&self.server);
+    /// Returns the server's state for an answer. Never resolves if the server doesn't answer.
+    async fn reach(&self) -> Result<ServerSnapshot, BackEndConnectionError> {
+        let server = self.world.snapshot(&self.server);
         let is_silent = self.generation != self.world.generation.load(Ordering::Relaxed);
-        if is_silent || server.dark || !self.world.network.reaches(&self.node, &self.server) {
+        if is_silent || server.unresponsive || !self.world.network.reaches(&self.node, &self.server)
+        {
             pending::<()>().await;
         }
-        if !server.running || server.born != self.life {
+        if !server.running || server.started_at != self.incarnation {
             return Err(BackEndConnectionError::Closed(
                 "the server is gone".to_owned(),
             ));
@@ -160,7 +162,7 @@
         self.answer(Vec::new(), Ok(signature.into()))
     }
 
-    fn lacks(&self, after: &Option<LogPosition>) -> bool {
+    fn is_behind(&self, after: &Option<LogPosition>) -> bool {
         let servers = self.world.lock();
         let server = &servers[&self.server];
         let applied = server.applied(Instant::now());
@@ -177,17 +179,17 @@
 
     async fn run_text(&mut self, id: &str, text: &[u8]) -> Result<Answer, BackEndConnectionError> {
         let server = self.reach().await?;
-        let place = enter(&self.world, &self.server).await;
-        let Some(place) = place.filter(|_| !server.busy) else {
+        let permit = acquire_slot(&self.world, &self.server).await;
+        let Some(permit) = permit.filter(|_| !server.queue_full) else {
             return Ok(self.refuse(RefusalKind::Busy));
         };
-        sleep(WORK * server.slowness).await;
-        drop(place);
+        sleep(STATEMENT_TIME * server.slowdown).await;
+        drop(permit);
         let server = self.reach().await?;
         self.world.change(&self.server, |s| s.statements += 1);
-        self.world.note_tenant(id, self.tenant.clone());
+        self.world.record_tenant(id, self.tenant.clone());
         if text.starts_with(b"READ") {
-            let applied = self.remember_read(id);
+            let applied = self.record_read(id);
             let values: Vec<String> = self
                 .values
                 .iter()
@@ -216,19 +218,19 @@
         }
     }
 
-    /// Remembers the log that a read sees; returns its length.
-    fn remember_read(&self, id: &str) -> usize {
+    /// Records the log that a read sees; returns its length.
+    fn record_read(&self, id: &str) -> usize {
         let servers = self.world.lock();
         let server = &servers[&self.server];
         let applied = server.applied(Instant::now());
-        let tail = &server.log[applied.saturating_sub(TAIL)..applied];
+        let tail = &server.log[applied.saturating_sub(READ_TAIL_LEN)..applied];
         let tail = tail.iter().map(|entry| entry.1.clone()).collect();
         let mut reads = self.world.reads.lock().unwrap();
         reads.insert(id.to_owned(), ReadLog { applied, tail });
         applied
     }
 
-    /// Appends entries and waits until a replica has received them.
+    /// Appends log entries and waits until a replica has received them.
     async fn commit_entries(
         &mut self,
         ids: Vec<String>,
@@ -245,13 +247,15 @@
             let server = self.reach().await?;
             if server.role != Role::Primary {
                 return Err(BackEndConnectionError::Closed(
-                    "it leads no more".to_owned(),
+                    "the server is no longer the leader".to_owned(),
                 ));
             }
         }
         let server = self.reach().await?;
-        if server.breaks_off {
-            return Err(BackEndConnectionError::Closed("broken off".to_owned()));
+        if server.closes_before_answer {
+            return Err(BackEndConnectionError::Closed(
+                "closed before the answer".to_owned(),
+            ));
         }
         if server.loses_answers {
             pending::<()>().await;
@@ -264,19 +268,19 @@
 impl BackEndConnection for WorldConnection {
     async fn run(&mut self, command: &Command) -> Result<Answer, BackEndConnectionError> {
         let answer = self.run_at_server(command).await;
-        self.world.freezer.pass(&self.node).await;
+        self.world.freezer.wait_until_resumed(&self.node).await;
         answer
     }
 
     async fn control(&mut self, control: Control) -> Result<MemberReport, BackEndConnectionError> {
         let report = self.control_server(control).await;
-        self.world.freezer.pass(&self.node).await;
+        self.world.freezer.wait_until_resumed(&self.node).await;
         report
     }
 
     fn is_open(&mut self) -> bool {
-        let server = self.world.glimpse(&self.server);
-        server.running && server.born == self.life
+        let server = self.world.snapshot(&self.server);
+        server.running && server.started_at == self.incarnation
     }
 }
 
@@ -288,14 +292,14 @@
         self.world
             .change(&self.server, |s| s.last_command = arrived);
         if let Some(id) = statement_id(command) {
-            self.world.note_arrival(id, &self.server);
+            self.world.record_arrival(id, &self.server);
         }
         match command {
             Command::Begin { read_only, after } => {
                 if !read_only && server.role != Role::Primary {
                     return Ok(self.refuse(RefusalKind::NotLeader));
                 }
-                if self.lacks(after) {
+                if self.is_behind(after) {
                     return Ok(self.refuse(RefusalKind::Lagging));
                 }
                 self.transaction = Some(WorldTransaction {
@@ -318,7 +322,7 @@
             Command::Run {
                 id, text, after, ..
             } => {
-                if self.lacks(after) {
+                if self.is_behind(after) {
                     return Ok(self.refuse(RefusalKind::Lagging));
                 }
                 self.run_text(id, text).await
@@ -329,7 +333,7 @@
                 arguments,
                 after,
             } => {
-                if self.lacks(after) {
+                if self.is_behind(after) {
                     return Ok(self.refuse(RefusalKind::Lagging));
                 }
                 let Some(shape) = self.prepared.get(name).cloned() else {
@@ -343,11 +347,11 @@
                 Ok(self.complete(String::new()))
             }
             Command::Prepare { name, prepared } => {
-                let word = match prepared.access {
+                let keyword = match prepared.access {
                     stilequay_engine::statement::Access::Read => "READ ",
                     stilequay_engine::statement::Access::Write => "WRITE ",
                 };
-                let shape = [word.as_bytes(), prepared.shape.as_ref()].concat();
+                let shape = [keyword.as_bytes(), prepared.shape.as_ref()].concat();
                 self.prepared.insert(name.clone(), shape.into());
                 Ok(self.complete(String::new()))
             }
@@ -365,12 +369,12 @@
     ) -> Result<MemberReport, BackEndConnectionError> {
         sleep(ROUND_TRIP).await;
         let server = self.reach().await?;
-        if server.busy {
+        if server.queue_full {
             return Err(BackEndConnectionError::Refused(
-                "its queue is full".to_owned(),
+                "the server's queue is full".to_owned(),
             ));
         }
-        let refused = || BackEndConnectionError::Refused("no such order".to_owned());
+        let refused = || BackEndConnectionError::Refused("the term isn't newer".to_owned());
         match control {
             Control::Status => {}
             Control::Pause(term) if term > server.term => {
@@ -393,10 +397,10 @@
     }
 }
 
-/// A place at the server called `name`: `None` where its queue is full.
-async fn enter(world: &World, name: &str) -> Option<Place> {
+/// Waits for a slot at the server `name`; `None` if its queue is full.
+async fn acquire_slot(world: &World, name: &str) -> Option<SlotPermit> {
     match world.slots_of(name) {
-        Some(slots) => slots.enter().await.map(Some),
+        Some(slots) => slots.acquire().await.map(Some),
         None => Some(None),
     }
 }
--- a/crates/engine/tests/support/servers/world.rs
+++ b/crates/engine/tests/support/servers/world.rs
@@ -1,7 +1,7 @@
-//! All servers, and what they do to one another.
+//! The simulated servers, with replication and changes of leader between them.
 
 use super::network::Network;
-use super::{Glimpse, ReadLog, Server, Slots};
+use super::{ReadLog, Server, ServerSnapshot, Slots};
 use crate::support::freezer::Freezer;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -13,59 +13,59 @@
 use stilequay_engine::ports::PromotionOrder;
 use tokio::time::{Instant, sleep};
 
-/// Time after which an old leader that can reach the new one gives up.
-const YIELD_TIME: Duration = Duration::from_secs(1);
+/// Interval between checks for old leaders that can reach the new one and are therefore demoted.
+const OLD_LEADER_DEMOTION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// All servers of the only group.
+/// All servers of the simulated group, and the network.
 #[derive(Debug)]
 pub struct World {
     servers: Mutex<BTreeMap<String, Server>>,
     pub network: Network,
     pub(super) promotions: Mutex<Vec<PromotionOrder>>,
-    /// What each read's log held, by request.
+    /// The log that each read saw, by request id.
     pub(super) reads: Mutex<HashMap<String, ReadLog>>,
-    /// The tenant that the server was told for each statement that it ran, by request.
+    /// The tenant that the server received with each statement that it ran, by request id.
     pub(super) tenants: Mutex<HashMap<String, Option<TenantName>>>,
-    /// Which statement has arrived at which server, run or not.
+    /// Request ids of the statements that arrived at a server, run or not, with the server.
     pub(super) arrivals: Mutex<Vec<(String, String)>>,
-    /// When which tenant's statements have run.
+    /// When statements of tenants ran, with the tenant.
     pub(super) runs: Mutex<Vec<(Instant, TenantName)>>,
-    /// Connections of an earlier generation are answered no more, and don't end.
+    /// Connections of an earlier generation get no more answers but stay open.
     pub(super) generation: AtomicU64,
-    /// Connections that stand at each server.
+    /// Number of open connections to each server.
     pub(super) connections: Mutex<HashMap<String, usize>>,
-    /// Entries that are left out of the directory: a planted mistake.
-    pub hidden: Mutex<HashSet<String>>,
-    /// Entries of members of other groups, which nobody asks.
-    pub further: Mutex<Vec<Member>>,
-    /// Processes that stand still.
+    /// Injected fault: servers whose entries are missing from the directory.
+    pub unlisted: Mutex<HashSet<String>>,
+    /// Directory entries of members of other groups, which receive no requests.
+    pub other_members: Mutex<Vec<Member>>,
+    /// The frozen processes.
     pub freezer: Freezer,
-    /// Places of each server; without limit where there are none.
+    /// The execution slots of each server that has a limit.
     slots: Mutex<HashMap<String, Arc<Slots>>>,
 }
 
 impl World {
-    /// Servers called `names`; the first leads in term 1.
+    /// Creates the servers `names`. The first is the leader of term 1.
     pub fn new(names: &[&str]) -> Arc<Self> {
         let server = |role| Server {
             role,
             term: 1,
             log: Vec::new(),
             paused_for: 0,
-            born: None,
+            started_at: None,
             running: true,
-            dark: false,
-            deaf: false,
-            full: false,
-            accepts: None,
-            busy: false,
+            unresponsive: false,
+            not_receiving: false,
+            connections_exhausted: false,
+            max_connections: None,
+            queue_full: false,
             loses_answers: false,
-            breaks_off: false,
+            closes_before_answer: false,
             state: MemberState::Ready,
-            slowness: 1,
+            slowdown: 1,
             apply_lag: Duration::from_millis(8),
             received_at: Vec::new(),
-            shown: 0,
+            applied_as_leader: 0,
             ignores_pause: false,
             statements: 0,
             last_command: None,
@@ -88,49 +88,49 @@
             runs: Mutex::default(),
             generation: AtomicU64::default(),
             connections: Mutex::default(),
-            hidden: Mutex::default(),
-            further: Mutex::default(),
+            unlisted: Mutex::default(),
+            other_members: Mutex::default(),
             slots: Mutex::default(),
             freezer: Freezer::default(),
         })
     }
 
-    /// The tenant that a server was told for the statement `id`; `None` where none ran it.
-    pub fn tenant_told(&self, id: &str) -> Option<Option<TenantName>> {
+    /// The tenant that a server received with the statement `id`; `None` if no server ran it.
+    pub fn tenant_received(&self, id: &str) -> Option<Option<TenantName>> {
         self.tenants.lock().unwrap().get(id).cloned()
     }
 
-    /// Lets all connections go silent for good; new ones work.
+    /// Makes all open connections permanently silent. New connections work.
     pub fn silence_connections(&self) {
         self.generation.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Connections that stand at the server called `name`.
+    /// The number of open connections to the server `name`.
     pub fn open_connections(&self, name: &str) -> usize {
         let connections = self.connections.lock().unwrap();
         connections.get(name).copied().unwrap_or(0)
     }
 
-    /// When statements of `tenant` have begun to run, in order.
-    pub fn runs_of(&self, tenant: &str) -> Vec<Instant> {
+    /// When statements of `tenant` ran, in order.
+    pub fn run_times(&self, tenant: &str) -> Vec<Instant> {
         let runs = self.runs.lock().unwrap();
         let of_tenant = runs.iter().filter(|(_, name)| &**name == tenant);
         of_tenant.map(|(at, _)| *at).collect()
     }
 
-    /// The servers at which the statement `id` has arrived, in order.
+    /// The servers at which the statement `id` arrived, in order.
     pub fn servers_reached(&self, id: &str) -> Vec<String> {
         let arrivals = self.arrivals.lock().unwrap();
         let of_statement = arrivals.iter().filter(|(statement, _)| statement == id);
         of_statement.map(|(_, server)| server.clone()).collect()
     }
 
-    pub(super) fn note_arrival(&self, id: &str, server: &str) {
+    pub(super) fn record_arrival(&self, id: &str, server: &str) {
         let arrival = (id.to_owned(), server.to_owned());
         self.arrivals.lock().unwrap().push(arrival);
     }
 
-    pub(super) fn note_tenant(&self, id: &str, tenant: Option<TenantName>) {
+    pub(super) fn record_tenant(&self, id: &str, tenant: Option<TenantName>) {
         if let Some(tenant) = &tenant {
             let run = (Instant::now(), tenant.clone());
             self.runs.lock().unwrap().push(run);
@@ -142,8 +142,8 @@
         change(self.lock().get_mut(name).expect("a server"));
     }
 
-    /// Gives every server room for `running` statements, and `queue` more that wait.
-    pub fn limit_slots(&self, running: usize, queue: usize) {
+    /// Limits every server to `running` concurrent and `queue` waiting statements.
+    pub fn set_slot_limits(&self, running: usize, queue: usize) {
         let names: Vec<String> = self.lock().keys().cloned().collect();
         let mut slots = self.slots.lock().unwrap();
         slots.extend(
@@ -161,11 +161,11 @@
         self.lock()[name].clone()
     }
 
-    pub(super) fn glimpse(&self, name: &str) -> Glimpse {
-        Glimpse::of(&self.lock()[name])
+    pub(super) fn snapshot(&self, name: &str) -> ServerSnapshot {
+        ServerSnapshot::of(&self.lock()[name])
     }
 
-    /// A crash: connections end, the log stays.
+    /// Crashes a server: its connections are closed, and its log is kept.
     pub fn crash(&self, name: &str) {
         self.change(name, |server| {
             server.running = false;
@@ -173,21 +173,21 @@
         });
     }
 
-    /// Back after a crash: as a replica, if another was promoted meanwhile.
+    /// Restarts a server after a crash, as a replica if another was promoted in the meantime.
     pub fn restart(&self, name: &str) {
         let newest = self.newest_leader();
         self.change(name, |server| {
             server.running = true;
-            server.dark = false;
+            server.unresponsive = false;
             if newest.is_some_and(|(leader, term)| leader != name && term > server.term) {
                 server.step_down();
             }
         });
     }
 
-    /// Back under its name after a crash, with nothing of before.
-    pub fn start_anew(&self, name: &str) {
-        self.change(name, Server::start_anew);
+    /// Restarts a server under its name with an empty log.
+    pub fn start_empty(&self, name: &str) {
+        self.change(name, Server::start_empty);
     }
 
     fn newest_leader(&self) -> Option<(String, u64)> {
@@ -197,7 +197,7 @@
         newest.map(|(name, s)| (name.clone(), s.term))
     }
 
-    /// The leader of the newest term; while nobody leads, whoever has received most.
+    /// The leader of the newest term. If there is none, the server that has received the most.
     pub fn leader(&self) -> String {
         let newest = self.newest_leader().map(|(name, _)| name);
         let servers = self.lock();
@@ -209,19 +209,19 @@
         self.promotions.lock().unwrap().clone()
     }
 
-    /// The log on which `request` read.
+    /// The log that the read `request` saw.
     pub fn log_read_by(&self, request: &str) -> ReadLog {
         let reads = self.reads.lock().unwrap();
         reads.get(request).cloned().unwrap_or_default()
     }
 
-    /// The servers' entries.
+    /// The directory entries of the servers.
     pub fn entries(&self) -> Vec<Member> {
         let servers = self.lock();
-        let hidden = self.hidden.lock().unwrap();
-        let listed = servers.iter().filter(|(name, _)| !hidden.contains(*name));
+        let unlisted = self.unlisted.lock().unwrap();
+        let listed = servers.iter().filter(|(name, _)| !unlisted.contains(*name));
         let listed = listed.map(|(name, server)| Member {
-            id: incarnation_id(name, server.born),
+            id: incarnation_id(name, server.started_at),
             group: Arc::from(crate::support::GROUP),
             address: address_of(name),
             zone: Arc::from(format!("zone-{name}").as_str()),
@@ -231,15 +231,15 @@
             state: server.state,
             changed: 0,
         });
-        let further = self.further.lock().unwrap();
-        listed.chain(further.iter().cloned()).collect()
+        let other_members = self.other_members.lock().unwrap();
+        listed.chain(other_members.iter().cloned()).collect()
     }
 
     pub(super) fn lock(&self) -> MutexGuard<'_, BTreeMap<String, Server>> {
         self.servers.lock().unwrap()
     }
 
-    /// Sends the leader's log to the replicas that receive; returns how many have it all.
+    /// Replicates the leader's log to all replicas that can receive it; returns how many did.
     pub(super) fn replicate(&self, leader: &str) -> usize {
         let now = Instant::now();
         let mut servers = self.lock();
@@ -251,14 +251,14 @@
             let receives = name != leader
                 && replica.role == Role::Replica
                 && replica.running
-                && !replica.dark
-                && !replica.deaf
+                && !replica.unresponsive
+                && !replica.not_receiving
                 && !paused
                 && replica.term <= term
                 && self.network.reaches(leader, name);
             if receives {
                 replica.term = term;
-                take_log(replica, &log, now);
+                sync_log(replica, &log, now);
                 received += 1;
             }
         }
@@ -266,30 +266,31 @@
         received
     }
 
-    /// A promotion ends the pause of every replica that hears of it.
-    pub(super) fn tell_replicas(&self, leader: &str) {
+    /// Moves every replica that the new leader reaches to the new term and log, and ends its pause.
+    pub(super) fn announce_promotion(&self, leader: &str) {
         let mut servers = self.lock();
         let (term, log) = (servers[leader].term, servers[leader].log.clone());
         for (name, server) in servers.iter_mut() {
-            let hears = server.running && !server.dark && self.network.reaches(leader, name);
+            let hears =
+                server.running && !server.unresponsive && self.network.reaches(leader, name);
             if hears && server.role == Role::Replica && server.term < term {
                 server.term = term;
                 server.paused_for = 0;
-                take_log(server, &log, Instant::now());
+                sync_log(server, &log, Instant::now());
                 server.log.truncate(log.len());
-                server.shown = server.shown.min(log.len());
+                server.applied_as_leader = server.applied_as_leader.min(log.len());
                 server.received_at.truncate(log.len());
             }
         }
     }
 
-    /// A leader that can reach a newer one gives up after a while.
-    pub(super) fn yield_old_leaders(self: &Arc<Self>, new: &str) {
+    /// Repeatedly demotes old leaders that can reach the new one.
+    pub(super) fn demote_old_leaders(self: &Arc<Self>, new: &str) {
         let world = Arc::clone(self);
         let new = new.to_owned();
         tokio::spawn(async move {
             for _ in 0..200 {
-                sleep(YIELD_TIME).await;
+                sleep(OLD_LEADER_DEMOTION_INTERVAL).await;
                 let mut servers = world.lock();
                 let Some(newest) = servers.get(&new).map(|s| (s.term, s.log.clone())) else {
                     return;
@@ -299,7 +300,7 @@
                     if older && server.running && world.network.reaches(&new, name) {
                         server.step_down();
                         server.term = newest.0;
-                        take_log(server, &newest.1, Instant::now());
+                        sync_log(server, &newest.1, Instant::now());
                     }
                 }
             }
@@ -307,14 +308,14 @@
     }
 }
 
-/// Where the server called `name` listens.
+/// The address of the server `name`.
 fn address_of(name: &str) -> SocketAddr {
     let last = name.bytes().next().unwrap_or(0);
     SocketAddr::from(([10, 0, 0, last], 5000))
 }
 
-/// Takes what `log` has, dropping what differs from it.
-fn take_log(server: &mut Server, log: &[(u64, String)], now: Instant) {
+/// Makes the log of `server` equal to `log`, dropping entries that diverge from it.
+fn sync_log(server: &mut Server, log: &[(u64, String)], now: Instant) {
     let last = server.log.len().checked_sub(1);
     let is_prefix = last.is_none_or(|last| server.log.get(last) == log.get(last));
     let same = match is_prefix {
@@ -327,7 +328,7 @@
             .count(),
     };
     server.log.truncate(same);
-    server.shown = server.shown.min(same);
+    server.applied_as_leader = server.applied_as_leader.min(same);
     server.received_at.truncate(same);
     server.log.extend_from_slice(&log[same..]);
     server.received_at.resize(log.len(), now);
--- a/crates/engine/tests/tenants.rs
+++ b/crates/engine/tests/tenants.rs
@@ -102,11 +102,11 @@
                 let database =
                     [LEADER_DATABASE, BOUNDED_DATABASE, OWN_DATABASE][(round + node) % 3];
                 let mut client = client(fleet, node, database, key);
-                let (id, reply) = client.ask_as(read("x")).await;
+                let (id, reply) = client.send_with_id(read("x")).await;
                 assert!(reply.outcome.is_ok(), "{reply:?}");
                 statements.insert(id, tenant);
                 client.begin(false).await;
-                let (id, reply) = client.ask_as(write("x 1")).await;
+                let (id, reply) = client.send_with_id(write("x 1")).await;
                 assert!(reply.outcome.is_ok(), "{reply:?}");
                 statements.insert(id, tenant);
                 assert!(client.commit().await.outcome.is_ok());
@@ -114,7 +114,7 @@
         }
     }
     let is_wrong = |(id, tenant): &(&String, &&str)| {
-        let received = fleet.world.tenant_told(id).expect("it has run");
+        let received = fleet.world.tenant_received(id).expect("it has run");
         received.as_deref() != Some(**tenant)
     };
     statements.iter().filter(is_wrong).count()
@@ -134,7 +134,10 @@
 async fn a_home_that_confuses_tenants_is_detected() {
     let fleet = start_fleet(LARGE_FLEET).await;
     sleep(Duration::from_secs(2)).await;
-    fleet.peers.swaps_tenants.store(true, Ordering::Relaxed);
+    fleet
+        .peers
+        .swaps_tenant_names
+        .store(true, Ordering::Relaxed);
     assert!(count_wrong_tenants(&fleet).await > 0);
 }
 
@@ -235,9 +238,9 @@
         fleet.freeze(&frozen_node, false);
     }
     for client in &mut clients {
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         assert_eq!(reason(&reply), Some(FailureReason::ConfigurationOutdated));
-        assert_eq!(fleet.world.tenant_told(&id), None);
+        assert_eq!(fleet.world.tenant_received(&id), None);
     }
 }
 
@@ -292,9 +295,9 @@
     apply_configuration(&fleet, with_tenants(2, &declared)).await;
     for name in &tenants {
         let mut client = client(&fleet, 0, LEADER_DATABASE, name);
-        let (id, reply) = client.ask_as(read("x")).await;
+        let (id, reply) = client.send_with_id(read("x")).await;
         assert!(reply.outcome.is_ok(), "{reply:?}");
-        let received = fleet.world.tenant_told(&id).expect("it has run");
+        let received = fleet.world.tenant_received(&id).expect("it has run");
         assert_eq!(received.as_deref(), Some(name.as_str()));
         assert!(fleet.world.open_connections("a") <= 34);
     }
