--- a/crates/engine/tests/departures.rs
+++ b/crates/engine/tests/departures.rs
@@ -24,7 +24,7 @@
 #[case::learned_late_for_the_rest_of_its_time(Some(3_000), 1_100, true)]
 #[case::seen_for_the_first_time_already_leaving(None, 0, true)]
 #[tokio::test(start_paused = true)]
-async fn a_leaving_member_is_used_from_when_others_may_have_known(
+async fn the_grace_period_starts_when_others_may_have_known_of_the_departure(
     #[case] unseen_ms: Option<u64>,
     #[case] waited_ms: u64,
     #[case] expected: bool,
@@ -86,7 +86,7 @@
 
 /// A server that is gone for good must not block changes of leader forever.
 #[tokio::test(start_paused = true)]
-async fn what_has_gone_long_ago_is_forgotten_with_the_next_change() {
+async fn members_gone_for_long_are_removed_with_the_next_change() {
     let now = Departure::at(Instant::now());
     let directory = Directory::default().with_entries(1, vec![member(MemberState::Ready)], now);
     let gone = DirectoryChange::Gone {
@@ -122,7 +122,7 @@
 #[case::returns_late(Some(0), EntryChange::Returns, 4_000, "ready")]
 #[case::replaced(Some(0), EntryChange::Replaced, 300, "gone")]
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_lapsed_with_the_store_is_expected_back(
+async fn entries_that_lapse_during_a_store_outage_are_expected_to_return(
     #[case] back_for_ms: Option<u64>,
     #[case] change: EntryChange,
     #[case] later_ms: u64,
@@ -166,7 +166,7 @@
 
 /// Other processes learn that an entry has lapsed and how long it is still expected to return.
 #[tokio::test(start_paused = true)]
-async fn a_lapse_is_told_to_other_processes() {
+async fn lapsed_entries_are_sent_to_other_processes() {
     let fleet = Fleet::start(2).await;
     let engines = [&fleet.nodes[0].engine, &fleet.nodes[1].engine];
     let until_known = || engines.iter().all(|engine| engine.processes() == 2);
--- a/crates/engine/tests/evacuation.rs
+++ b/crates/engine/tests/evacuation.rs
@@ -175,7 +175,7 @@
 /// If the holder of the promotion lease dies after recording a change of leader, the next holder
 /// completes it.
 #[tokio::test(start_paused = true)]
-async fn a_change_whose_holder_dies_is_completed() {
+async fn a_leader_change_is_completed_by_the_next_lease_holder() {
     let mut fleet = start_fleet(4).await;
     (0..4).for_each(|node| spawn_load(&fleet, node));
     let holder = fleet.holder();
@@ -272,7 +272,7 @@
 
 /// A process that is frozen beyond the bound sends nothing to the zone when it resumes.
 #[tokio::test(start_paused = true)]
-async fn a_process_that_stood_still_over_the_bound_sends_nothing_there() {
+async fn a_process_resumed_after_the_bound_sends_nothing_to_the_zone() {
     let fleet = start_fleet(4).await;
     retry_write(&fleet, 0).await;
     let mut idle = fleet.session(3, OWN_DATABASE);
@@ -316,7 +316,7 @@
 
 /// After a restart of all processes, the evacuated zones are read before any statement is sent.
 #[tokio::test(start_paused = true)]
-async fn after_a_restart_of_all_nothing_is_sent_there() {
+async fn nothing_is_sent_to_an_evacuated_zone_after_a_fleet_restart() {
     let mut fleet = start_fleet(3).await;
     retry_write(&fleet, 0).await;
     (0..3).for_each(|node| fleet.kill(node));
@@ -460,7 +460,7 @@
 /// A transaction that is open on an evacuated server is lost at the bound: it is reported as not
 /// run, and has not run.
 #[tokio::test(start_paused = true)]
-async fn an_open_transaction_is_lost_and_told_so() {
+async fn an_open_transaction_is_lost_at_the_bound_and_reported_as_not_run() {
     let fleet = start_fleet(3).await;
     retry_write(&fleet, 0).await;
     let acked_at = evacuate(&fleet, &["zone-a", "zone-b", "zone-c"]);
@@ -485,7 +485,7 @@
 /// A third of a large fleet is cut off from the store and all other processes but still reaches the
 /// servers: nothing is sent to the zone after the bound.
 #[tokio::test(start_paused = true)]
-async fn a_third_of_the_fleet_that_is_cut_off_keeps_the_bound() {
+async fn the_bound_holds_while_a_third_of_the_fleet_is_cut_off() {
     let fleet = start_fleet(LARGE_FLEET).await;
     (0..LARGE_FLEET).for_each(|node| spawn_load(&fleet, node));
     sleep(Duration::from_secs(1)).await;
--- a/crates/engine/tests/homes.rs
+++ b/crates/engine/tests/homes.rs
@@ -231,7 +231,7 @@
 
 /// One store call refreshes the evidence of all groups of a block.
 #[tokio::test(start_paused = true)]
-async fn evidence_of_a_block_comes_with_one_call() {
+async fn one_store_call_refreshes_the_evidence_of_a_block() {
     let fleet = Fleet::start(1).await;
     let engine = &fleet.nodes[0].engine;
     let leader = Member::clone(&member(&fleet, "a"));
@@ -365,7 +365,7 @@
 #[case::frozen(Loss::Frozen)]
 #[case::cut_off(Loss::Cut)]
 #[tokio::test(start_paused = true)]
-async fn a_write_at_a_home_that_is_lost_may_have_run(#[case] loss: Loss) {
+async fn a_write_forwarded_to_a_failed_home_may_have_run(#[case] loss: Loss) {
     let mut fleet = start_large_fleet().await;
     let node = uninvolved_node(&fleet);
     let homes = homes_of(&fleet, "a");
@@ -479,7 +479,7 @@
 
 /// Most processes of a large fleet don't read the store, but learn of changes through others.
 #[tokio::test(start_paused = true)]
-async fn a_large_fleet_follows_the_store_through_a_few() {
+async fn a_large_fleet_follows_the_store_through_a_few_processes() {
     let mut fleet = start_large_fleet().await;
     let direct = |fleet: &Fleet| -> Vec<usize> {
         let nodes = fleet.nodes.iter().enumerate();
@@ -530,7 +530,7 @@
 
 /// Processes that the store refuses are soon no longer used as sources.
 #[tokio::test(start_paused = true)]
-async fn a_follower_that_the_store_turns_away_is_not_followed() {
+async fn sources_refused_by_the_store_are_soon_abandoned() {
     let fleet = start_large_fleet().await;
     let is_direct = |node: usize| fleet.nodes[node].engine.following().is_direct();
     let store_readers = wait_for_store_readers(&fleet).await;
@@ -576,7 +576,7 @@
 /// A leader that is cut off together with its whole zone, which includes its homes, is replaced
 /// as quickly as one that crashes.
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_is_cut_off_with_its_zone_is_replaced_soon() {
+async fn a_leader_that_is_cut_off_with_its_zone_is_replaced_quickly() {
     let fleet = start_large_fleet_in(&["zone-a", "zone-b", "zone-c"]).await;
     let history = Arc::new(History::default());
     let is_inside = |node: usize| fleet.nodes[node].engine.settings().zone.as_ref() == "zone-a";
@@ -608,7 +608,7 @@
 /// After a restart of the whole fleet, the records that the processes wrote before remain valid:
 /// none is written again, so no process is notified of changes.
 #[tokio::test(start_paused = true)]
-async fn a_fleet_that_starts_anew_leaves_its_records_alone() {
+async fn a_fleet_restart_writes_no_records() {
     let mut fleet = start_large_fleet().await;
     let names: Vec<String> = fleet.nodes.iter().map(|node| node.name.clone()).collect();
     let versions = |fleet: &Fleet| -> Vec<u64> {
@@ -635,7 +635,7 @@
 /// A process that falls back to the store resumes from the version that it got from other
 /// processes, without reading whole tables again.
 #[tokio::test(start_paused = true)]
-async fn a_process_that_goes_back_to_the_store_goes_on_from_what_it_knows() {
+async fn falling_back_to_the_store_resumes_from_the_known_version() {
     let mut fleet = start_large_fleet().await;
     let is_direct = |fleet: &Fleet, node: usize| fleet.nodes[node].engine.following().is_direct();
     let store_readers = wait_for_store_readers(&fleet).await;
@@ -661,7 +661,7 @@
 /// A home that has just started and has no directory yet runs no statements for other processes.
 /// They use the next candidate and don't count this as a failure of the member.
 #[tokio::test(start_paused = true)]
-async fn a_home_that_does_not_know_the_member_is_passed_over() {
+async fn a_home_that_does_not_know_the_member_is_skipped() {
     let fleet = start_large_fleet().await;
     let new = homes_of(&fleet, "a")[0];
     fleet.nodes[new].abort();
--- a/crates/engine/tests/pool.rs
+++ b/crates/engine/tests/pool.rs
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_opening_that_is_given_up_is_kept_for_the_next() {
+async fn an_abandoned_connection_attempt_is_kept_for_the_next_request() {
     let (_world, back_end, pool) = pool(Duration::from_millis(100));
     let acquire_request = AcquireRequest::internal();
     let given_up = pool.acquire(&acquire_request, deadline_in(40)).await;
@@ -239,7 +239,7 @@
 /// If the member accepts no further connection, the pool closes an idle one of another tenant, so
 /// that the next request can connect.
 #[tokio::test(start_paused = true)]
-async fn a_crowded_member_gets_a_connection_for_one_that_is_closed() {
+async fn an_idle_connection_is_closed_for_a_new_one_at_the_members_limit() {
     let (world, _back_end, pool) = pool(Duration::ZERO);
     pool.set_limit(10);
     world.change("a", |server| server.max_connections = Some(3));
--- a/crates/engine/tests/rate.rs
+++ b/crates/engine/tests/rate.rs
@@ -168,7 +168,7 @@
 #[case::all_restarted(Disruption::AllRestarted)]
 #[case::limit_lowered(Disruption::LimitLowered)]
 #[tokio::test(start_paused = true)]
-async fn no_window_exceeds_the_limit_by_more_than_it_may(#[case] disruption: Disruption) {
+async fn no_window_exceeds_the_limit_by_more_than_the_excess(#[case] disruption: Disruption) {
     let limit = RateLimit {
         per_second: 30.0,
         burst: 30.0,
@@ -416,7 +416,7 @@
 #[case::small(3.0, 3.0)]
 #[case::slow_with_a_burst(2.0, 40.0)]
 #[case::large(196.0, 196.0)]
-fn the_sum_holds_with_takeovers_in_a_window(#[case] per_second: f64, #[case] burst: f64) {
+fn the_limit_holds_with_takeovers_in_a_window(#[case] per_second: f64, #[case] burst: f64) {
     let limit = RateLimit { per_second, burst };
     let busiest = busiest_window_of_model(
         limit,
@@ -454,7 +454,7 @@
 #[case::refused(false)]
 #[case::not_answered(true)]
 #[tokio::test(start_paused = true)]
-async fn counters_that_the_store_turns_away_are_replaced(#[case] is_silent: bool) {
+async fn counters_refused_by_the_store_are_replaced(#[case] is_silent: bool) {
     let limit = RateLimit {
         per_second: 90.0,
         burst: 90.0,
--- a/crates/engine/tests/rate_partial.rs
+++ b/crates/engine/tests/rate_partial.rs
@@ -356,7 +356,10 @@
 #[case::cut_twice(Loss::Cut, 2)]
 #[case::frozen_three_times(Loss::Frozen, 3)]
 #[tokio::test(start_paused = true)]
-async fn both_sides_together_keep_to_the_bound(#[case] loss: Loss, #[case] times: usize) {
+async fn both_sides_of_a_partition_together_stay_within_the_limit(
+    #[case] loss: Loss,
+    #[case] times: usize,
+) {
     let mut fleet = start_fleet().await;
     let granted = Arc::new(Mutex::new(Vec::new()));
     let mut requests = JoinSet::new();
@@ -459,7 +462,7 @@
 
     /// The limit holds for any number and times of takeovers while previous counters still grant.
     #[test]
-    fn the_sum_holds_with_takeovers_before_leases_lapse(
+    fn the_limit_holds_with_takeovers_before_leases_expire(
         steps in prop::collection::btree_set(1_u64..1_600, 0..6),
         per_second in 1_f64..200.0,
         seconds_of_burst in 0.2_f64..3.0,
--- a/crates/engine/tests/regions.rs
+++ b/crates/engine/tests/regions.rs
@@ -104,7 +104,7 @@
 /// While the regions are partitioned, reads continue as long as it is known which commits they must
 /// show. After that they are refused as not run. No member is promoted.
 #[tokio::test(start_paused = true)]
-async fn a_region_that_is_cut_off_reads_on_for_a_while() {
+async fn a_region_that_is_cut_off_serves_reads_for_a_limited_time() {
     let fleet = start_fleet().await;
     let mut northern = fleet.session(0, LEADER_DATABASE);
     let mut southern = fleet.session(2, BOUNDED_DATABASE);
--- a/crates/engine/tests/residency.rs
+++ b/crates/engine/tests/residency.rs
@@ -310,7 +310,7 @@
 /// If all processes in a member's zone are lost, its fourth candidate may be in another region. A
 /// process that may not forward to any candidate connects directly.
 #[tokio::test(start_paused = true)]
-async fn no_candidate_elsewhere_follows_where_homes_are_lost() {
+async fn no_candidate_elsewhere_replaces_lost_homes() {
     let next = restrict_all_to(2, NORTH);
     let mut fleet = start_fleet_with_regions(ONE_NORTHERN_ZONE, LARGE_FLEET, next, regions).await;
     let node = southern_uninvolved_node(&fleet);
@@ -390,7 +390,7 @@
 #[case::a_statement(read("x"))]
 #[case::the_commit(Statement::Commit)]
 #[tokio::test(start_paused = true)]
-async fn an_open_transaction_ends_where_its_region_is_taken_away(
+async fn an_open_transaction_is_lost_if_its_region_is_removed(
     #[case] next: Statement,
     #[values(4, LARGE_FLEET)] nodes: usize,
 ) {
@@ -444,7 +444,7 @@
 #[case::here(4)]
 #[case::at_a_home(LARGE_FLEET)]
 #[tokio::test(start_paused = true)]
-async fn a_statement_that_waits_is_not_sent_where_its_region_is_taken_away(#[case] nodes: usize) {
+async fn a_waiting_statement_is_not_sent_to_a_removed_region(#[case] nodes: usize) {
     let fleet = start_fleet(nodes, restrict_all_to(2, SOUTH)).await;
     let node = 0;
     let open = use_all_connections(&fleet, node).await;
--- a/crates/engine/tests/slow_start.rs
+++ b/crates/engine/tests/slow_start.rs
@@ -237,7 +237,9 @@
 #[case::small(SMALL_FLEET)]
 #[case::large(LARGE_FLEET)]
 #[tokio::test(start_paused = true)]
-async fn a_cold_leader_gets_what_it_takes_and_the_others_wait_or_are_told(#[case] nodes: usize) {
+async fn a_cold_leader_stays_within_its_limit_and_other_writes_wait_or_are_refused(
+    #[case] nodes: usize,
+) {
     let fleet = start_fleet(nodes).await;
     make_cold(&fleet, "a").await;
     wait_for_shares(&fleet, "a").await;
@@ -275,7 +277,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_write_waits_for_its_turn_while_that_comes_in_time() {
+async fn a_write_waits_only_if_it_can_be_sent_in_time() {
     let fleet = start_fleet(1).await;
     apply_configuration(&fleet, slow_start(3, 2.0)).await;
     make_cold(&fleet, "a").await;
@@ -310,7 +312,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_transaction_that_is_open_goes_on() {
+async fn open_transactions_on_a_cold_member_can_finish() {
     let fleet = start_fleet(1).await;
     apply_configuration(&fleet, slow_start(3, 10.0)).await;
     make_cold(&fleet, "a").await;
@@ -334,7 +336,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn whoever_reaches_no_home_sends_nothing_to_a_cold_member() {
+async fn a_process_that_reaches_no_home_sends_nothing_to_a_cold_member() {
     let fleet = start_fleet(LARGE_FLEET).await;
     make_cold(&fleet, "b").await;
     let shares = wait_for_shares(&fleet, "b").await;
@@ -355,7 +357,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn homes_that_do_not_see_one_another_keep_the_sum() {
+async fn the_limit_holds_while_homes_cannot_reach_each_other() {
     let fleet = start_fleet(LARGE_FLEET).await;
     make_cold(&fleet, "a").await;
     wait_for_shares(&fleet, "a").await;
@@ -412,7 +414,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_restart_of_all_keeps_the_sum() {
+async fn the_limit_holds_across_a_fleet_restart() {
     let mut fleet = start_fleet(SMALL_FLEET).await;
     make_cold(&fleet, "a").await;
     wait_for_shares(&fleet, "a").await;
@@ -439,7 +441,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_home_that_stood_still_sends_nothing_on_old_knowledge() {
+async fn a_resumed_home_sends_nothing_based_on_outdated_records() {
     let fleet = start_fleet(LARGE_FLEET).await;
     make_cold(&fleet, "a").await;
     wait_for_shares(&fleet, "a").await;
@@ -549,7 +551,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn members_of_a_zone_that_is_used_again_are_cold() {
+async fn members_of_a_restored_zone_are_cold() {
     let fleet = start_fleet(1).await;
     let engine = &fleet.nodes[0].engine;
     let evacuations = |version, zones: &[&str]| Evacuations {
@@ -615,7 +617,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_member_is_not_told_to_be_warm_too_early() {
+async fn no_process_considers_a_cold_member_warm_too_early() {
     // The remaining time is sent by another process, over a link with latency.
     let fleet = start_fleet(LARGE_FLEET).await;
     make_cold(&fleet, "b").await;
@@ -727,7 +729,7 @@
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn no_second_has_more_whatever_strikes(#[values(1, 2, 3, 4)] seed: u64) {
+async fn no_second_exceeds_the_limit_under_random_failures(#[values(1, 2, 3, 4)] seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut fleet = start_fleet(LARGE_FLEET).await;
     let cold: &[&str] = &["a", "b"];
--- a/crates/engine/tests/slow_start_shares.rs
+++ b/crates/engine/tests/slow_start_shares.rs
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn statements_pass_in_order_of_arrival() {
+async fn statements_are_admitted_in_order_of_arrival() {
     let gate = Arc::new(StatementGate::default());
     let order: Arc<Mutex<Vec<usize>>> = Arc::default();
     let mut tasks = Vec::new();
@@ -225,7 +225,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
     #[test]
-    fn shares_hold_however_late_processes_hear(
+    fn shares_hold_however_late_processes_read_the_store(
         steps in proptest::collection::vec(step(), 100..600),
     ) {
         let most = max_per_second(&simulate(&steps, InjectedBug::None));
--- a/crates/engine/tests/tenants.rs
+++ b/crates/engine/tests/tenants.rs
@@ -154,7 +154,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_credential_that_arrives_in_a_moment_is_waited_for() {
+async fn sessions_wait_briefly_for_an_unknown_credential() {
     let fleet = start_fleet(1).await;
     let engine = Arc::clone(&fleet.nodes[0].engine);
     let next = with_tenants(3, &[("one", &["key-1", "key-new"])]);
@@ -164,7 +164,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_process_that_may_be_behind_refuses_nobody_for_good() {
+async fn a_process_that_may_be_outdated_refuses_with_a_retry_time() {
     let fleet = start_fleet(1).await;
     fleet.records.set_fault(Fault::Refusing);
     // Longer than the time within which configuration changes must be applied.
@@ -215,7 +215,7 @@
 #[case::frozen_meanwhile(LARGE_FLEET, true)]
 #[case::a_small_fleet_refused_by_the_store(3, false)]
 #[tokio::test(start_paused = true)]
-async fn a_process_that_hears_of_nothing_fails_closed(#[case] nodes: usize, #[case] frozen: bool) {
+async fn a_process_without_updates_fails_closed(#[case] nodes: usize, #[case] frozen: bool) {
     let fleet = start_fleet(nodes).await;
     sleep(Duration::from_secs(2)).await;
     let mut clients: Vec<Client> = (0..nodes)
@@ -252,7 +252,7 @@
 /// other processes switch to other sources, and the age of their configuration stays well below the
 /// bound.
 #[tokio::test(start_paused = true)]
-async fn proofs_stay_young_while_followers_are_lost() {
+async fn proofs_stay_recent_while_store_readers_are_lost() {
     let mut fleet = start_fleet(LARGE_FLEET).await;
     sleep(Duration::from_secs(2)).await;
     let store_readers: Vec<usize> = (0..LARGE_FLEET)
